--- a/packages/consensus/src/campaign.ts
+++ b/packages/consensus/src/campaign.ts
@@ -1,22 +1,22 @@
-/** Campaigns of a replica that wants to lead (section 5.2 of the Raft paper, section 9.6 of the thesis). */
+/** Pre-candidate and candidate roles (section 5.2 of the Raft paper, section 9.6 of the thesis). */
 import type { ConsensusMessage, VoterId } from './messages.js'
 import { Role, type MessageOf, type RoleResult } from './role.js'
 import type { ReplicaState } from './state.js'
 import { allVoters, hasMajority, sameVoter, voterKey } from './voters.js'
 
-/** Collects votes until a majority of each deciding set has granted them. */
+/** Collects votes until a majority of each voter set has granted them. */
 abstract class CampaignRole<Command> extends Role<Command> {
-  readonly #granted = new Set<string>()
-  protected endsAtMs = Infinity
+  readonly #grantedBy = new Set<string>()
+  protected timeoutAtMs = Infinity
 
   override nextWakeAtMs (): number {
-    return this.endsAtMs
+    return this.timeoutAtMs
   }
 
-  /** Counts a vote; whether it completes a majority. */
-  protected count (voter: VoterId): boolean {
-    this.#granted.add(voterKey(voter))
-    return hasMajority(this.state.configuration, candidate => this.#granted.has(voterKey(candidate)))
+  /** Counts a granted vote; returns whether there is now a majority. */
+  protected countVote (voter: VoterId): boolean {
+    this.#grantedBy.add(voterKey(voter))
+    return hasMajority(this.state.configuration, candidate => this.#grantedBy.has(voterKey(candidate)))
   }
 
   protected otherVoters (): VoterId[] {
@@ -25,30 +25,30 @@
 }
 
 /**
- * Asks whether a campaign could succeed without raising the term, so that a replica that was cut off does not end the
- * term of a working leader when it returns.
+ * Asks the voters whether an election could succeed, without increasing the term. A replica that was partitioned
+ * therefore does not depose a working leader when it reconnects.
  */
 export class PreCandidateRole<Command> extends CampaignRole<Command> {
   readonly name = 'pre_candidate'
 
-  override begin (): RoleResult {
+  override enter (): RoleResult {
     const { preVoteRetryMinMs, preVoteRetryMaxMs } = this.state.settings
-    this.endsAtMs = this.state.nowMs + this.state.randomMs(preVoteRetryMinMs, preVoteRetryMaxMs)
+    this.timeoutAtMs = this.state.nowMs + this.state.randomDelayMs(preVoteRetryMinMs, preVoteRetryMaxMs)
     for (const voter of this.otherVoters()) this.state.send(voter, voteRequest(this.state, true, false))
-    return this.count(this.state.id) ? { kind: 'campaign', isTransfer: false } : undefined
+    return this.countVote(this.state.id) ? { kind: 'campaign', isTransfer: false } : undefined
   }
 
   override tick (): RoleResult {
-    return this.state.nowMs >= this.endsAtMs ? { kind: 'pre_campaign' } : undefined
+    return this.state.nowMs >= this.timeoutAtMs ? { kind: 'pre_campaign' } : undefined
   }
 
   override receive (from: VoterId, message: ConsensusMessage<Command>): RoleResult {
     if (message.kind !== 'vote_response' || !message.isPreVote || !message.granted) return undefined
-    return this.count(from) ? { kind: 'campaign', isTransfer: false } : undefined
+    return this.countVote(from) ? { kind: 'campaign', isTransfer: false } : undefined
   }
 }
 
-/** Asks for votes in a new term. Its own vote counts, and the requests leave, once that vote is synced. */
+/** Requests votes in a new term. The requests are sent, and its own vote is counted, only once that vote is synced. */
 export class CandidateRole<Command> extends CampaignRole<Command> {
   readonly name = 'candidate'
   readonly #isTransfer: boolean
@@ -58,22 +58,22 @@
     this.#isTransfer = isTransfer
   }
 
-  override begin (): RoleResult {
+  override enter (): RoleResult {
     const { state } = this
     const { campaignMinMs, campaignMaxMs } = state.settings
-    this.endsAtMs = state.nowMs + state.randomMs(campaignMinMs, campaignMaxMs)
-    for (const voter of this.otherVoters()) state.sendWhenDurable(voter, voteRequest(state, false, this.#isTransfer))
-    state.sendWhenDurable(state.id, { kind: 'vote_response', term: state.term, isPreVote: false, granted: true })
+    this.timeoutAtMs = state.nowMs + state.randomDelayMs(campaignMinMs, campaignMaxMs)
+    for (const voter of this.otherVoters()) state.sendAfterSync(voter, voteRequest(state, false, this.#isTransfer))
+    state.sendAfterSync(state.id, { kind: 'vote_response', term: state.term, isPreVote: false, granted: true })
     return undefined
   }
 
   override tick (): RoleResult {
-    return this.state.nowMs >= this.endsAtMs ? { kind: 'pre_campaign' } : undefined
+    return this.state.nowMs >= this.timeoutAtMs ? { kind: 'pre_campaign' } : undefined
   }
 
   override receive (from: VoterId, message: ConsensusMessage<Command>): RoleResult {
     if (message.kind !== 'vote_response' || message.isPreVote || !message.granted) return undefined
-    return this.count(from) ? { kind: 'lead' } : undefined
+    return this.countVote(from) ? { kind: 'lead' } : undefined
   }
 }
 
--- a/packages/consensus/src/entry-size.ts
+++ b/packages/consensus/src/entry-size.ts
@@ -1,10 +1,10 @@
-/** Estimated sizes of entries, so that messages are bounded without knowing their encoding. */
+/** Size estimates of log entries, which bound messages without depending on their encoding. */
 import type { LogEntry } from './messages.js'
 
 const scalarBytes = 9
 const entryOverheadBytes = 64
 
-/** Estimate of the encoded size of an entry in bytes; encodings with field names stay close to it. */
+/** Estimates the encoded size of an entry in bytes, assuming an encoding that includes field names. */
 export function estimateEntryBytes<Command> (entry: LogEntry<Command>): number {
   return entryOverheadBytes + estimateBytes(entry.body)
 }
--- a/packages/consensus/src/transfer.ts
+++ b/packages/consensus/src/leadership-transfer.ts
@@ -1,11 +1,11 @@
-/** Transfer of leadership (section 3.10 of the Raft thesis). */
+/** Leadership transfer (section 3.10 of the Raft thesis). */
 import type { VoterId } from './messages.js'
 import type { PeerProgress } from './progress.js'
 import type { Replication } from './replication.js'
 import type { ReplicaState } from './state.js'
 
-/** Brings one voter up to date and then tells it to campaign at once. */
-export class Transfer<Command> {
+/** Waits until the target voter has caught up and then asks it to start an election at once. */
+export class LeadershipTransfer<Command> {
   readonly #state: ReplicaState<Command>
   readonly #replication: Replication<Command>
   #target: VoterId | null = null
@@ -17,12 +17,12 @@
     this.#replication = replication
   }
 
-  /** While a transfer is under way nothing is proposed. */
+  /** Whether a transfer is in progress; proposals are rejected meanwhile. */
   get isActive (): boolean {
     return this.#target !== null
   }
 
-  /** Whether the target may have started to campaign, which ends the lease of this leader. */
+  /** Whether the target may have started an election, which invalidates the lease of this leader. */
   get isSent (): boolean {
     return this.#isSent
   }
@@ -32,14 +32,14 @@
   }
 
   /**
-   * Whether the target was told to campaign and nothing came of it. The leader must then give up its term: the message
-   * may still arrive, and voters would answer it during a lease.
+   * Whether the target was asked to start an election but did not win it in time. The leader must then step down: the
+   * request may still arrive later, and voters would grant their votes in spite of a valid lease.
    */
   get isExpired (): boolean {
     return this.#isSent && this.#state.nowMs >= this.#deadlineMs
   }
 
-  /** Chooses the voter that is furthest ahead among those that answer; without one nothing changes. */
+  /** Starts a transfer to the most up-to-date voter among those that respond; has no effect if there is none. */
   start (): void {
     if (this.isActive) return
     const target = this.#bestTarget()
@@ -49,16 +49,16 @@
     this.proceed()
   }
 
-  /** Sends the request once the target has everything, or gives up at the deadline. */
+  /** Sends the request once the target has the whole log; cancels the transfer at the deadline. */
   proceed (): void {
     if (this.#target === null || this.#isSent) return
-    if (this.#state.nowMs >= this.#deadlineMs) return this.#giveUp()
+    if (this.#state.nowMs >= this.#deadlineMs) return this.#cancel()
     if (this.#replication.peer(this.#target)?.matchIndex !== this.#state.log.lastIndex) return
     this.#send(this.#target)
   }
 
-  /** Tells the best voter to campaign, if it has everything, without waiting for it. */
-  sendNow (): void {
+  /** Sends the request to the most up-to-date voter if it already has the whole log, without waiting for it. */
+  sendIfCaughtUp (): void {
     const target = this.#bestTarget()
     if (target?.matchIndex === this.#state.log.lastIndex) this.#send(target.id)
   }
@@ -68,7 +68,7 @@
     this.#state.send(target, { kind: 'transfer_leadership', term: this.#state.term })
   }
 
-  #giveUp (): void {
+  #cancel (): void {
     this.#target = null
     this.#deadlineMs = Infinity
   }
@@ -78,7 +78,7 @@
     return configuration.voters
       .map(voter => this.#replication.peer(voter))
       .filter(peer => peer !== undefined)
-      .filter(peer => nowMs - peer.contactMs < settings.checkQuorumMs)
+      .filter(peer => nowMs - peer.lastContactMs < settings.checkQuorumMs)
       .reduce<PeerProgress | undefined>((best, peer) => {
         return best === undefined || isBetterTarget(peer, best) ? peer : best
       }, undefined)
@@ -87,5 +87,5 @@
 
 function isBetterTarget (peer: PeerProgress, other: PeerProgress): boolean {
   if (peer.matchIndex !== other.matchIndex) return peer.matchIndex > other.matchIndex
-  return peer.contactMs > other.contactMs
+  return peer.lastContactMs > other.lastContactMs
 }
--- a/packages/consensus/src/log-time.ts
+++ b/packages/consensus/src/log-clock.ts
@@ -1,12 +1,12 @@
 /**
- * Log time of a leader: starts from the last log time and advances with monotonic time, so that neither a change of
- * leader nor a jump of a wall clock makes it go back.
+ * Clock for the timestamps that a leader writes into log entries. It starts at the last log time and advances with
+ * monotonic time, so that neither a change of leader nor a wall-clock jump makes log time go back.
  *
  * @example
- * const logTime = new LogTime(5_000, 70)
- * logTime.at(80) // 5010
+ * const logClock = new LogClock(5_000, 70)
+ * logClock.timeAtMs(80) // 5010
  */
-export class LogTime {
+export class LogClock {
   readonly #originMs: number
   readonly #startedMs: number
 
@@ -16,7 +16,7 @@
   }
 
   /** Log time in whole milliseconds at the monotonic time `nowMs`. */
-  at (nowMs: number): number {
+  timeAtMs (nowMs: number): number {
     return this.#originMs + Math.max(0, Math.floor(nowMs - this.#startedMs))
   }
 }
--- a/packages/consensus/src/log.ts
+++ b/packages/consensus/src/log.ts
@@ -1,30 +1,30 @@
-/** The replicated log in memory. */
+/** In-memory part of the replicated log. */
 import { estimateEntryBytes } from './entry-size.js'
 import type { LogEntry, RecoveredLog, Snapshot } from './messages.js'
 
-/** Bounds of a part of the log. */
+/** Maximum length and estimated size of a section of the log. */
 export interface SliceLimits {
   readonly maxEntries: number
   readonly maxBytes: number
 }
 
-/** Entries after a snapshot or after the tail kept behind it (sections 5.3 and 7 of the Raft paper). */
+/** The latest snapshot, the entries after it and some trailing entries before it (Raft paper, sections 5.3 and 7). */
 export class ReplicatedLog<Command> {
   #entries: Array<LogEntry<Command>> = []
-  /** Estimated bytes of all entries up to each entry in memory, so that the size of a part is one subtraction. */
-  #totalsBytes: number[] = []
-  #baseTotalBytes = 0
+  /** Cumulative estimated size up to each entry in memory, so that the size of any section is one subtraction. */
+  #cumulativeBytes: number[] = []
+  #baseCumulativeBytes = 0
   #baseIndex = 0
   #baseTerm = 0
   #baseLogTimeMs = 0
   #snapshot: Snapshot | null = null
 
   constructor (recovered: RecoveredLog<Command>) {
-    if (recovered.snapshot !== null) this.replaceBy(recovered.snapshot)
+    if (recovered.snapshot !== null) this.resetTo(recovered.snapshot)
     this.append(recovered.entries)
   }
 
-  /** Index before the first entry kept in memory. */
+  /** Index just before the first entry in memory. */
   get baseIndex (): number {
     return this.#baseIndex
   }
@@ -41,81 +41,81 @@
     return this.#entries.at(-1)?.logTimeMs ?? this.#baseLogTimeMs
   }
 
-  /** The latest snapshot, or `null` before the first. */
+  /** The latest snapshot; `null` if none was taken yet. */
   get snapshot (): Snapshot | null {
     return this.#snapshot
   }
 
-  /** Term of the entry at `index`; `undefined` where the log does not reach. */
+  /** Term of the entry at `index`; `undefined` if it is not in memory. */
   termAt (index: number): number | undefined {
     if (index === this.#baseIndex) return this.#baseTerm
     return this.#entries[index - this.#baseIndex - 1]?.term
   }
 
-  /** Log time of the entry at `index`; `undefined` where the log does not reach. */
+  /** Log time of the entry at `index`; `undefined` if it is not in memory. */
   logTimeAt (index: number): number | undefined {
     if (index === this.#baseIndex) return this.#baseLogTimeMs
     return this.#entries[index - this.#baseIndex - 1]?.logTimeMs
   }
 
-  /** Estimated size of the entries after `index`. */
-  sizeAfterBytes (index: number): number {
-    return this.#totalAtBytes(this.lastIndex) - this.#totalAtBytes(index)
+  /** Estimated size in bytes of the entries after `index`. */
+  bytesAfter (index: number): number {
+    return this.#cumulativeBytesAt(this.lastIndex) - this.#cumulativeBytesAt(index)
   }
 
-  #totalAtBytes (index: number): number {
-    return this.#totalsBytes[index - this.#baseIndex - 1] ?? this.#baseTotalBytes
+  #cumulativeBytesAt (index: number): number {
+    return this.#cumulativeBytes[index - this.#baseIndex - 1] ?? this.#baseCumulativeBytes
   }
 
-  /** Whether a log that ends at this position holds everything that this one may have committed (section 5.4.1). */
-  isCoveredBy (lastIndex: number, lastTerm: number): boolean {
+  /** Whether a log that ends at the given position is at least as up-to-date as this one (section 5.4.1). */
+  isUpToDate (lastIndex: number, lastTerm: number): boolean {
     if (lastTerm !== this.lastTerm) return lastTerm > this.lastTerm
     return lastIndex >= this.lastIndex
   }
 
-  /** Adds entries that follow the last one. */
+  /** Appends entries; the first one must follow the last index. */
   append (entries: ReadonlyArray<LogEntry<Command>>): void {
     for (const entry of entries) {
       if (entry.index !== this.lastIndex + 1) {
-        throw new Error(`entry ${entry.index} does not follow the last index ${this.lastIndex}`)
+        throw new Error(`cannot append entry ${entry.index} after index ${this.lastIndex}`)
       }
-      const totalBytes = this.#totalAtBytes(this.lastIndex) + estimateEntryBytes(entry)
+      const cumulativeBytes = this.#cumulativeBytesAt(this.lastIndex) + estimateEntryBytes(entry)
       this.#entries.push(entry)
-      this.#totalsBytes.push(totalBytes)
+      this.#cumulativeBytes.push(cumulativeBytes)
     }
   }
 
-  /** Removes the entry at `index` and all after it. */
+  /** Removes the entry at `index` and all later ones. */
   truncateFrom (index: number): void {
     const kept = Math.max(0, index - this.#baseIndex - 1)
     this.#entries.length = Math.min(this.#entries.length, kept)
-    this.#totalsBytes.length = this.#entries.length
+    this.#cumulativeBytes.length = this.#entries.length
   }
 
-  /** Entries from `first` to `last`, both included. */
+  /** Entries from `first` to `last`, inclusive. */
   range (first: number, last: number): Array<LogEntry<Command>> {
     return this.#entries.slice(first - this.#baseIndex - 1, last - this.#baseIndex)
   }
 
-  /** Entries from `first` on within the limits; at least one, so that a large entry is not stuck. */
+  /** Entries from `first` on within the limits; at least one, so that an entry above the byte limit is still sent. */
   slice (first: number, limits: SliceLimits): { entries: Array<LogEntry<Command>>, sizeBytes: number } {
-    const startBytes = this.#totalAtBytes(first - 1)
+    const startBytes = this.#cumulativeBytesAt(first - 1)
     const latest = Math.min(this.lastIndex, first + limits.maxEntries - 1)
     let last = first
-    while (last < latest && this.#totalAtBytes(last + 1) - startBytes <= limits.maxBytes) last++
-    return { entries: this.range(first, last), sizeBytes: this.#totalAtBytes(last) - startBytes }
+    while (last < latest && this.#cumulativeBytesAt(last + 1) - startBytes <= limits.maxBytes) last++
+    return { entries: this.range(first, last), sizeBytes: this.#cumulativeBytesAt(last) - startBytes }
   }
 
-  /** Where the leader should go back to after a mismatch: before the conflicting term (section 5.3). */
-  conflictHint (previousIndex: number, floorIndex: number): number {
+  /** Previous index for the leader's next attempt after a mismatch, before the conflicting term (section 5.3). */
+  conflictHint (previousIndex: number, minIndex: number): number {
     if (previousIndex > this.lastIndex) return this.lastIndex
     const term = this.termAt(previousIndex)
     let index = previousIndex
-    while (index > floorIndex && this.termAt(index) === term) index--
+    while (index > minIndex && this.termAt(index) === term) index--
     return index
   }
 
-  /** Keeps a snapshot of the state machine and drops all but a tail of the entries that it covers. */
+  /** Records a snapshot of the state machine and discards the entries that it covers, except for a bounded tail. */
   compact (snapshot: Snapshot, tail: SliceLimits): void {
     if (snapshot.lastIndex <= (this.#snapshot?.lastIndex ?? 0)) return
     this.#snapshot = snapshot
@@ -123,25 +123,25 @@
     const dropped = newBase - this.#baseIndex
     this.#baseTerm = this.termAt(newBase) ?? snapshot.lastTerm
     this.#baseLogTimeMs = this.logTimeAt(newBase) ?? snapshot.logTimeMs
-    this.#baseTotalBytes = this.#totalAtBytes(newBase)
+    this.#baseCumulativeBytes = this.#cumulativeBytesAt(newBase)
     this.#entries = this.#entries.slice(dropped)
-    this.#totalsBytes = this.#totalsBytes.slice(dropped)
+    this.#cumulativeBytes = this.#cumulativeBytes.slice(dropped)
     this.#baseIndex = newBase
   }
 
   #tailStart (lastIndex: number, tail: SliceLimits): number {
-    const endBytes = this.#totalAtBytes(lastIndex)
+    const endBytes = this.#cumulativeBytesAt(lastIndex)
     let start = Math.max(this.#baseIndex, lastIndex - tail.maxEntries)
-    while (start < lastIndex && endBytes - this.#totalAtBytes(start) > tail.maxBytes) start++
+    while (start < lastIndex && endBytes - this.#cumulativeBytesAt(start) > tail.maxBytes) start++
     return start
   }
 
-  /** Replaces the whole log by a snapshot. */
-  replaceBy (snapshot: Snapshot): void {
+  /** Replaces the whole log with a snapshot. */
+  resetTo (snapshot: Snapshot): void {
     this.#snapshot = snapshot
     this.#entries = []
-    this.#totalsBytes = []
-    this.#baseTotalBytes = 0
+    this.#cumulativeBytes = []
+    this.#baseCumulativeBytes = 0
     this.#baseIndex = snapshot.lastIndex
     this.#baseTerm = snapshot.lastTerm
     this.#baseLogTimeMs = snapshot.logTimeMs
--- a/packages/consensus/src/messages.ts
+++ b/packages/consensus/src/messages.ts
@@ -1,18 +1,18 @@
-/** Types of the replicated log. Commands stay typed objects here; adapters encode them. */
+/** Entries, messages, events and effects of the consensus protocol. Adapters encode the typed commands. */
 
-/** Identity of a voter: a replica that lost its disk has a new `diskId` and is another voter. */
+/** Identity of a voter. A replica that lost its disk gets a new `diskId` and thereby becomes a different voter. */
 export interface VoterId {
   readonly nodeId: string
   readonly diskId: string
 }
 
-/** What a log entry carries. */
+/** Payload of a log entry. */
 export type EntryBody<Command> =
   | { readonly kind: 'command', readonly proposalId: string, readonly command: Command }
   | {
     readonly kind: 'voters'
     readonly voters: readonly VoterId[]
-    /** The set that must agree as well while a replacement is under way; empty at other times. */
+    /** The old voters, whose majority is also required during joint consensus; empty otherwise. */
     readonly outgoingVoters: readonly VoterId[]
   }
   | { readonly kind: 'noop' }
@@ -26,7 +26,7 @@
   readonly body: EntryBody<Command>
 }
 
-/** Term and vote, which must be on disk before they are acted on. */
+/** Term and vote, which must be synced before any message that depends on them is sent. */
 export interface HardState {
   readonly term: number
   readonly votedFor: VoterId | null
@@ -38,7 +38,7 @@
   readonly lastTerm: number
   readonly logTimeMs: number
   readonly voters: readonly VoterId[]
-  /** As in a `voters` entry: not empty where the snapshot was taken during a replacement. */
+  /** As in a `voters` entry; not empty if the snapshot was taken during joint consensus. */
   readonly outgoingVoters: readonly VoterId[]
   readonly content: Uint8Array
 }
@@ -51,7 +51,7 @@
     readonly isPreVote: boolean
     readonly lastIndex: number
     readonly lastTerm: number
-    /** Set when a leader hands its role over, so that voters that still hear it take part. */
+    /** Set if the leader asked for this election, so that voters in contact with it consider the request. */
     readonly isTransfer: boolean
   }
   | { readonly kind: 'vote_response', readonly term: number, readonly isPreVote: boolean, readonly granted: boolean }
@@ -62,14 +62,14 @@
     readonly previousTerm: number
     readonly entries: ReadonlyArray<LogEntry<Command>>
     readonly commitIndex: number
-    /** Identifies a round of heartbeats, for check-quorum and reads. */
+    /** Round of heartbeats; the response repeats it, so that the leader knows when it had contact with the replica. */
     readonly round: number
   }
   | {
     readonly kind: 'append_response'
     readonly term: number
     readonly success: boolean
-    /** Last index known to match on success, a hint where to go back to on failure. */
+    /** On success the last index known to match; on failure a hint for the previous index of the next attempt. */
     readonly matchIndex: number
     readonly round: number
   }
@@ -81,20 +81,20 @@
     readonly totalBytes: number
     readonly chunk: Uint8Array
   }
-  /** `receivedBytes` equals the total only once the snapshot is durable. */
+  /** `receivedBytes` equals the total size only once the snapshot is durable. */
   | { readonly kind: 'snapshot_ack', readonly term: number, readonly lastIndex: number, readonly receivedBytes: number }
   | { readonly kind: 'transfer_leadership', readonly term: number }
 
 /**
- * Why a proposal was rejected. All but `unknown` mean that it never takes effect.
+ * Why a proposal was rejected. All reasons except `unknown` mean that it never takes effect.
  *
  * - `not_leader`: it was not appended.
  * - `lost`: its entry was overwritten.
- * - `unknown`: a snapshot replaced the log that held its entry, which may have been committed.
- * - `queue_full`: too many entries wait for a commit.
- * - `change_in_progress`: another replacement of a voter is under way.
- * - `invalid_change`: the voter to remove is not in the set, or the one to add is already.
- * - `learner_unreachable`: the new voter did not answer, and the old set stays in force.
+ * - `unknown`: a snapshot replaced the log that contained its entry, which may have been committed.
+ * - `queue_full`: the uncommitted part of the log has reached its limit.
+ * - `change_in_progress`: another voter replacement is in progress.
+ * - `invalid_change`: the voter to remove is not in the voter set, or the one to add already is.
+ * - `learner_unreachable`: the new voter did not respond, and the old voter set stays in effect.
  */
 export type RejectionReason =
   | 'not_leader'
@@ -108,27 +108,27 @@
 /** Role of a replica. */
 export type ReplicaRole = 'follower' | 'pre_candidate' | 'candidate' | 'leader'
 
-/** What a replica is told. */
+/** Input of a replica. */
 export type ReplicaEvent<Command> =
   | { readonly kind: 'tick' }
   | { readonly kind: 'message', readonly from: VoterId, readonly message: ConsensusMessage<Command> }
   | { readonly kind: 'propose', readonly proposalId: string, readonly command: Command }
-  /** Without a voter to remove the set grows by one. */
+  /** Replaces the voter `remove` with `add`; if `remove` is `null`, adds a voter. */
   | {
     readonly kind: 'replace_voter'
     readonly proposalId: string
     readonly remove: VoterId | null
     readonly add: VoterId
   }
-  /** Everything of the `persist` effect with this number is synced. */
+  /** The `persist` effect with this id, and all before it, are synced. */
   | { readonly kind: 'persisted', readonly persistId: number }
-  /** The state machine wrote a snapshot; the log up to `lastIndex` may be dropped. */
+  /** A snapshot of the state machine is durable; the log up to its `lastIndex` may be discarded. */
   | { readonly kind: 'snapshot_saved', readonly snapshot: Snapshot }
   | { readonly kind: 'step_down' }
 
 /**
- * What a replica asks its adapters to do. Effects are started in order; a `persist` need not be finished before the
- * effects behind it.
+ * Output of a replica, for its adapters to execute. Effects are started in order; later effects need not wait for a
+ * `persist` to complete.
  */
 export type ReplicaEffect<Command> =
   | { readonly kind: 'send', readonly to: VoterId, readonly message: ConsensusMessage<Command> }
@@ -136,9 +136,9 @@
     readonly kind: 'persist'
     readonly persistId: number
     readonly hardState?: HardState
-    /** Replaces everything in the log from the first entry's index on. */
+    /** Overwrites the log from the index of the first entry on. */
     readonly entries: ReadonlyArray<LogEntry<Command>>
-    /** A snapshot installed by the leader; replaces the log. */
+    /** A snapshot received from the leader; replaces the log. */
     readonly snapshot?: Snapshot
   }
   | { readonly kind: 'apply', readonly entries: ReadonlyArray<LogEntry<Command>> }
@@ -151,20 +151,20 @@
     readonly leader: VoterId | null
   }
 
-/** What a replica finds on its disk at start. */
+/** Durable state that a replica starts from. */
 export interface RecoveredLog<Command> {
   readonly hardState: HardState
   readonly snapshot: Snapshot | null
   readonly entries: ReadonlyArray<LogEntry<Command>>
 }
 
-/** Disk of one replica. Promises resolve only after a sync. */
+/** Port to the durable storage of one replica. Promises resolve only after a sync. */
 export abstract class LogStorage<Command> {
-  /** Reads everything at start; truncates a torn last record and fails for damage before it. */
+  /** Reads the stored state at start; truncates a torn last record and fails on corruption before it. */
   abstract recover (): Promise<RecoveredLog<Command>>
-  /** Writes in order and syncs once; resolves when all of it is durable. */
+  /** Writes in call order and syncs once; resolves when the whole effect is durable. */
   abstract persist (effect: Extract<ReplicaEffect<Command>, { kind: 'persist' }>): Promise<void>
-  /** Stores a snapshot of the state machine and drops the log that it covers. */
+  /** Stores a snapshot of the state machine and discards the part of the log that it covers. */
   abstract saveSnapshot (snapshot: Snapshot): Promise<void>
   abstract close (): Promise<void>
 }
--- a/packages/consensus/src/progress.ts
+++ b/packages/consensus/src/progress.ts
@@ -1,25 +1,28 @@
-/** What a leader knows about one other replica. */
+/** Replication state that a leader keeps for each other replica. */
 import type { VoterId } from './messages.js'
 import type { ReplicaSettings } from './settings.js'
 import type { SnapshotSender } from './snapshot-transfer.js'
 
-/** How a replica is supplied: one append at a time until its log is known, then pipelined, or by a snapshot. */
-export type SupplyMode = 'probe' | 'replicate' | 'snapshot'
+/**
+ * How the leader replicates to a peer: `probe` sends one append at a time until the matching index is known,
+ * `replicate` pipelines appends, `snapshot` transfers a snapshot.
+ */
+export type ReplicationMode = 'probe' | 'replicate' | 'snapshot'
 
 interface InflightAppend {
   readonly lastIndex: number
   readonly sizeBytes: number
 }
 
-/** Match index, window of unanswered appends and last contact of one replica (section 10.2 of the Raft thesis). */
+/** Match index, in-flight appends and last contact of one peer (section 10.2 of the Raft thesis). */
 export class PeerProgress {
   readonly id: VoterId
   readonly startedMs: number
-  mode: SupplyMode = 'probe'
+  mode: ReplicationMode = 'probe'
   nextIndex: number
   sender: SnapshotSender | null = null
   #matchIndex = 0
-  #contactMs: number
+  #lastContactMs: number
   #isProbeSent = false
   #inflight: InflightAppend[] = []
   #inflightBytes = 0
@@ -28,33 +31,33 @@
     this.id = id
     this.nextIndex = nextIndex
     this.startedMs = nowMs
-    this.#contactMs = nowMs
+    this.#lastContactMs = nowMs
   }
 
-  /** Greatest index that the replica has synced. */
+  /** Last index that the peer is known to have synced. */
   get matchIndex (): number {
     return this.#matchIndex
   }
 
-  /** Time at which the latest message that the replica answered was sent. */
-  get contactMs (): number {
-    return this.#contactMs
+  /** Time at which the latest message that the peer responded to was sent. */
+  get lastContactMs (): number {
+    return this.#lastContactMs
   }
 
-  /** Notes an answer to a message that was sent at `sentMs`. */
-  contact (sentMs: number): void {
-    this.#contactMs = Math.max(this.#contactMs, sentMs)
+  /** Records a response to a message that was sent at `sentAtMs`. */
+  recordContact (sentAtMs: number): void {
+    this.#lastContactMs = Math.max(this.#lastContactMs, sentAtMs)
   }
 
-  /** Whether the window has room for another append. */
-  hasRoom (settings: ReplicaSettings): boolean {
+  /** Whether the in-flight limits allow another append. */
+  canSendAppend (settings: ReplicaSettings): boolean {
     if (this.mode === 'snapshot') return false
     if (this.mode === 'probe') return !this.#isProbeSent
     return this.#inflight.length < settings.maxInflightAppends && this.#inflightBytes < settings.maxInflightBytes
   }
 
-  /** Notes an append that ends at `lastIndex`. */
-  sent (lastIndex: number, sizeBytes: number): void {
+  /** Records that an append with entries up to `lastIndex` was sent. */
+  recordAppend (lastIndex: number, sizeBytes: number): void {
     if (this.mode === 'probe') {
       this.#isProbeSent = true
       return
@@ -64,42 +67,42 @@
     this.#inflightBytes += sizeBytes
   }
 
-  /** Allows an unanswered probe to be repeated. */
-  repeatProbe (): void {
+  /** Allows another probe although the previous one has no response. */
+  allowProbe (): void {
     this.#isProbeSent = false
   }
 
-  /** Takes in that the replica has synced everything up to `index`. */
-  matched (index: number): void {
+  /** Records that the peer has synced all entries up to `index`. */
+  recordMatch (index: number): void {
     this.#matchIndex = Math.max(this.#matchIndex, index)
     this.nextIndex = Math.max(this.nextIndex, this.#matchIndex + 1)
     this.#inflight = this.#inflight.filter(append => append.lastIndex > this.#matchIndex)
     this.#inflightBytes = this.#inflight.reduce((sum, append) => sum + append.sizeBytes, 0)
-    if (this.mode === 'probe') this.#supply('replicate')
+    if (this.mode === 'probe') this.#enterMode('replicate')
   }
 
-  /** Takes in a mismatch; `hint` is where to go back to. A late answer to an earlier append changes nothing. */
-  mismatched (hint: number): void {
+  /** Records a mismatch; `hint` is the previous index for the next attempt. Delayed responses have no effect. */
+  recordMismatch (hint: number): void {
     if (this.mode === 'snapshot') return
     if (this.mode === 'probe' && hint + 1 >= this.nextIndex) return
     this.nextIndex = Math.max(this.#matchIndex + 1, Math.min(this.nextIndex, hint + 1))
-    this.#supply('probe')
+    this.#enterMode('probe')
   }
 
-  /** Starts the transfer of a snapshot. */
+  /** Switches to the transfer of a snapshot. */
   startSnapshot (sender: SnapshotSender): void {
     this.sender = sender
-    this.#supply('snapshot')
+    this.#enterMode('snapshot')
   }
 
-  /** Ends the transfer of a snapshot that reaches up to `lastIndex`. */
+  /** Ends the transfer of a snapshot whose last index is `lastIndex`. */
   endSnapshot (lastIndex: number): void {
     this.sender = null
-    this.#supply('probe')
-    this.matched(lastIndex)
+    this.#enterMode('probe')
+    this.recordMatch(lastIndex)
   }
 
-  #supply (mode: SupplyMode): void {
+  #enterMode (mode: ReplicationMode): void {
     this.mode = mode
     this.#isProbeSent = false
     this.#inflight = []
--- a/packages/consensus/src/replica.ts
+++ b/packages/consensus/src/replica.ts
@@ -1,4 +1,4 @@
-/** The replica: a pure state machine that implements Raft. */
+/** Raft as a deterministic state machine: events in, effects out. */
 import { CandidateRole, PreCandidateRole } from './campaign.js'
 import { FollowerRole } from './follower.js'
 import { LeaderRole } from './leader.js'
@@ -8,35 +8,35 @@
 import type { MessageOf, Role, RoleChange, RoleResult } from './role.js'
 import { ReplicaState, type ReplicaOptions } from './state.js'
 import { isJoint, sameVoter, type VoterConfiguration } from './voters.js'
-import { answerPreVote, answerVote, examineVoteRequest, refuseVote } from './voting.js'
+import { respondToPreVote, respondToVote, checkVoteRequest, rejectVote } from './voting.js'
 
-/** Term of the entry that brings the first voter set; the first leader has the next one. */
-const firstTerm = 1
+/** Term of the entry that contains the first voter set; the first leader is elected in the next term. */
+const initialTerm = 1
 
 /**
- * One member of a replicated log (Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm", 2014;
- * Ongaro's thesis "Consensus: Bridging Theory and Practice" for pre-vote, check-quorum, transfer and membership).
+ * One Raft server (Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm", 2014; Ongaro's thesis
+ * "Consensus: Bridging Theory and Practice" for pre-vote, check-quorum, leadership transfer and membership changes).
  *
- * Effects are carried out in order; a `persist` need not be finished before the effects behind it are carried out. The
- * first step of a replica with a snapshot on disk yields `restore`.
+ * Effects must be started in order; later effects need not wait for a `persist` to complete. The first step of a
+ * replica with a snapshot on disk returns a `restore` effect.
  *
  * @example
  * const replica = new Replica({ id, settings: defaultReplicaSettings, recovered, random: new Random(7) })
- * for (const effect of replica.step({ kind: 'tick' }, clock.monotonicMs())) carryOut(effect)
+ * for (const effect of replica.step({ kind: 'tick' }, clock.monotonicMs())) execute(effect)
  * setTimer(replica.nextWakeAtMs())
  */
 export class Replica<Command> {
   readonly #state: ReplicaState<Command>
-  #current: Role<Command>
+  #role: Role<Command>
   #isStarted = false
 
   constructor (options: ReplicaOptions<Command>) {
     this.#state = new ReplicaState(options)
-    this.#current = new FollowerRole(this.#state)
+    this.#role = new FollowerRole(this.#state)
   }
 
   /**
-   * What a voter of the first set writes to its empty disk; it must be the same on all of them.
+   * Durable state that each voter of the first set writes to its empty disk; it must be identical on all of them.
    *
    * @example
    * const { hardState, entries } = Replica.initialLog<MyCommand>(voters)
@@ -45,13 +45,13 @@
   static initialLog<Command> (voters: readonly VoterId[]): RecoveredLog<Command> & { readonly snapshot: null } {
     const body = { kind: 'voters', voters, outgoingVoters: [] } as const
     return {
-      hardState: { term: firstTerm, votedFor: null },
+      hardState: { term: initialTerm, votedFor: null },
       snapshot: null,
-      entries: [{ index: 1, term: firstTerm, logTimeMs: 0, body }]
+      entries: [{ index: 1, term: initialTerm, logTimeMs: 0, body }]
     }
   }
 
-  /** What an empty disk holds. A replica that starts from it never votes and waits to be added. */
+  /** Durable state of an empty disk. A replica that starts from it does not vote until it is added as a voter. */
   static emptyLog<Command> (): RecoveredLog<Command> & { readonly snapshot: null } {
     return { hardState: { term: 0, votedFor: null }, snapshot: null, entries: [] }
   }
@@ -68,13 +68,13 @@
     return this.#state.leader
   }
 
-  /** The voter set; the old one until a replacement is through. */
+  /** The voter set; during joint consensus the old one. */
   get voters (): readonly VoterId[] {
     const { configuration } = this.#state
     return isJoint(configuration) ? configuration.outgoingVoters : configuration.voters
   }
 
-  /** Both voter sets. */
+  /** The voter configuration in effect, with both voter sets during joint consensus. */
   get configuration (): VoterConfiguration {
     return this.#state.configuration
   }
@@ -87,35 +87,34 @@
     return this.#state.log.lastIndex
   }
 
-  /** Estimated size of the log after the latest snapshot, for the decision when to take the next. */
+  /** Estimated size of the log after the latest snapshot, for deciding when to take the next one. */
   get bytesAfterSnapshot (): number {
-    return this.#state.log.sizeAfterBytes(this.#state.log.snapshot?.lastIndex ?? 0)
+    return this.#state.log.bytesAfter(this.#state.log.snapshot?.lastIndex ?? 0)
   }
 
-  /** Monotonic time at which the next `tick` is due; `Infinity` where none is, as for a replica without a vote. */
+  /** Monotonic time at which the next `tick` is due; `Infinity` if none is, for example for a non-voter. */
   nextWakeAtMs (): number {
-    return this.#isStarted ? this.#current.nextWakeAtMs() : this.#state.nowMs
+    return this.#isStarted ? this.#role.nextWakeAtMs() : this.#state.nowMs
   }
 
   /**
-   * Whether this replica leads and a majority took it for the leader within `leaseMs`, so that no other replica can
-   * have committed anything that this one does not know. It holds only for a clock that goes on while the process
-   * stands still.
+   * Whether this replica is the leader and a majority acknowledged it within `leaseMs`, so that no other replica can
+   * have committed an entry that this one lacks. Requires a clock that keeps running while the process is paused.
    *
    * @example
-   * if (replica.hasQuorumLease(clock.monotonicMs())) answerFromState()
+   * if (replica.hasQuorumLease(clock.monotonicMs())) readFromState()
    */
   hasQuorumLease (nowMs: number): boolean {
-    return this.#current.hasQuorumLease(nowMs)
+    return this.#role.hasQuorumLease(nowMs)
   }
 
-  /** How many more voters may be lost while the rest goes on with everything; null on a replica that does not lead. */
+  /** Number of further voters that may fail without loss of data or availability; `null` unless this replica leads. */
   get survivableLosses (): number | null {
-    return this.#current.survivableLosses()
+    return this.#role.survivableLosses()
   }
 
   /**
-   * Position and voter sets for a snapshot of the state machine after the entry at `lastIndex`.
+   * Metadata for a snapshot of the state machine taken after the entry at `lastIndex`.
    *
    * @example
    * await storage.saveSnapshot({ ...replica.describeSnapshot(appliedIndex), content })
@@ -124,31 +123,31 @@
     return this.#state.describeSnapshot(lastIndex)
   }
 
-  /** Runs one event to its end and returns what the adapters have to do. */
+  /** Handles one event completely and returns the effects for the adapters to execute. */
   step (event: ReplicaEvent<Command>, nowMs: number): Array<ReplicaEffect<Command>> {
-    this.#state.advanceTo(nowMs)
+    this.#state.advanceClock(nowMs)
     if (!this.#isStarted) this.#start()
-    this.#change(this.#current.checkExpiry())
-    this.#change(this.#handle(event))
+    this.#changeRole(this.#role.checkExpiry())
+    this.#changeRole(this.#handle(event))
     return this.#state.takeEffects()
   }
 
-  /** A replica that restarts may have answered a leader just before, so it refuses votes for a while. */
+  /** A restarted replica may have acknowledged a leader just before the restart, so it must not vote for a while. */
   #start (): void {
     this.#isStarted = true
-    this.#state.heardLeader()
-    this.#state.restoreRecovered()
+    this.#state.recordLeaderContact()
+    this.#state.restoreRecoveredSnapshot()
   }
 
   #handle (event: ReplicaEvent<Command>): RoleResult {
     switch (event.kind) {
-      case 'tick': return this.#current.tick()
+      case 'tick': return this.#role.tick()
       case 'message': return this.#receive(event.from, event.message)
-      case 'propose': return this.#current.propose(event)
-      case 'replace_voter': return this.#current.replaceVoter(event)
-      case 'persisted': return this.#persisted(event.persistId)
+      case 'propose': return this.#role.propose(event)
+      case 'replace_voter': return this.#role.replaceVoter(event)
+      case 'persisted': return this.#completePersist(event.persistId)
       case 'snapshot_saved': return this.#compact(event.snapshot)
-      case 'step_down': return this.#current.stepDown()
+      case 'step_down': return this.#role.stepDown()
     }
   }
 
@@ -156,12 +155,12 @@
     this.#state.compact(snapshot)
   }
 
-  #persisted (persistId: number): RoleResult {
+  #completePersist (persistId: number): RoleResult {
     for (const { to, message } of this.#state.completePersist(persistId)) {
-      if (sameVoter(to, this.#state.id)) this.#change(this.#current.receive(to, message))
+      if (sameVoter(to, this.#state.id)) this.#changeRole(this.#role.receive(to, message))
       else this.#state.send(to, message)
     }
-    return this.#current.persisted()
+    return this.#role.onPersisted()
   }
 
   #receive (from: VoterId, message: ConsensusMessage<Command>): RoleResult {
@@ -171,57 +170,57 @@
     }
     if (isPreVoteGrant(message)) return this.#receivePreVoteGrant(from, message)
     if (message.term > this.#state.term) this.#enterTerm(message.term)
-    if (message.term < this.#state.term) return this.#refuseStale(from, message)
-    if (isFromLeader(message)) this.#recognise(from)
-    return this.#current.receive(from, message)
+    if (message.term < this.#state.term) return this.#rejectStaleMessage(from, message)
+    if (isFromLeader(message)) this.#acceptLeader(from)
+    return this.#role.receive(from, message)
   }
 
   #receiveVoteRequest (from: VoterId, message: MessageOf<Command, 'vote_request'>): void {
-    const verdict = examineVoteRequest(this.#state, message)
-    if (verdict === 'refuse') refuseVote(this.#state, from, message.isPreVote)
+    const verdict = checkVoteRequest(this.#state, message)
+    if (verdict === 'reject') rejectVote(this.#state, from, message.isPreVote)
     if (verdict !== 'consider') return
-    if (message.isPreVote) answerPreVote(this.#state, from, message)
-    else this.#answerVote(from, message)
+    if (message.isPreVote) respondToPreVote(this.#state, from, message)
+    else this.#respondToVote(from, message)
   }
 
-  #answerVote (from: VoterId, message: MessageOf<Command, 'vote_request'>): void {
+  #respondToVote (from: VoterId, message: MessageOf<Command, 'vote_request'>): void {
     if (message.term > this.#state.term) this.#enterTerm(message.term)
-    answerVote(this.#state, from, message)
+    respondToVote(this.#state, from, message)
   }
 
-  /** A granted pre-vote carries the term that was asked for, which nobody has entered. */
+  /** A granted pre-vote carries the prospective term of the campaign, which no replica has entered yet. */
   #receivePreVoteGrant (from: VoterId, message: ConsensusMessage<Command>): RoleResult {
-    return message.term === this.#state.term + 1 ? this.#current.receive(from, message) : undefined
+    return message.term === this.#state.term + 1 ? this.#role.receive(from, message) : undefined
   }
 
   #enterTerm (term: number): void {
     this.#state.setHardState(term, null)
-    this.#change({ kind: 'follow', leader: null })
+    this.#changeRole({ kind: 'follow', leader: null })
   }
 
-  /** Tells a leader of an earlier term about the current one. */
-  #refuseStale (from: VoterId, message: ConsensusMessage<Command>): undefined {
+  /** Informs a leader of an earlier term about the current term. */
+  #rejectStaleMessage (from: VoterId, message: ConsensusMessage<Command>): undefined {
     if (!isFromLeader(message)) return
     const { term, commitIndex } = this.#state
-    this.#state.sendInTerm(from, { kind: 'append_response', term, success: false, matchIndex: commitIndex, round: 0 })
+    this.#state.sendAfterHardStateSync(from, { kind: 'append_response', term, success: false, matchIndex: commitIndex, round: 0 })
   }
 
-  #recognise (leader: VoterId): void {
-    if (this.#state.role === 'leader') throw new Error(`two leaders in term ${this.#state.term}`)
-    const known = this.#state.leader
-    if (known === null || !sameVoter(known, leader)) this.#change({ kind: 'follow', leader })
+  #acceptLeader (leader: VoterId): void {
+    if (this.#state.role === 'leader') throw new Error(`another replica also claims to lead term ${this.#state.term}`)
+    const currentLeader = this.#state.leader
+    if (currentLeader === null || !sameVoter(currentLeader, leader)) this.#changeRole({ kind: 'follow', leader })
   }
 
-  #change (change: RoleResult): void {
+  #changeRole (change: RoleResult): void {
     if (change === undefined) return
-    this.#current.end()
-    this.#current = this.#roleFor(change)
-    this.#state.setRole(this.#current.name, this.#leaderAfter(change))
-    this.#state.postponeElection()
-    this.#change(this.#current.begin())
+    this.#role.exit()
+    this.#role = this.#createRole(change)
+    this.#state.setRole(this.#role.name, this.#leaderAfter(change))
+    this.#state.resetElectionTimeout()
+    this.#changeRole(this.#role.enter())
   }
 
-  #roleFor (change: RoleChange): Role<Command> {
+  #createRole (change: RoleChange): Role<Command> {
     switch (change.kind) {
       case 'follow': return new FollowerRole(this.#state)
       case 'pre_campaign': return new PreCandidateRole(this.#state)
--- a/packages/consensus/src/role.ts
+++ b/packages/consensus/src/role.ts
@@ -1,15 +1,15 @@
-/** What a replica does depends on its role; each role is one class. */
+/** Base class of the roles of a replica: follower, pre-candidate, candidate and leader. */
 import type { ConsensusMessage, ReplicaEvent, ReplicaRole, VoterId } from './messages.js'
 import type { ReplicaState } from './state.js'
 
-/** A change of role that a step asks for. */
+/** Role transition requested by a handler. */
 export type RoleChange =
   | { readonly kind: 'follow', readonly leader: VoterId | null }
   | { readonly kind: 'pre_campaign' }
   | { readonly kind: 'campaign', readonly isTransfer: boolean }
   | { readonly kind: 'lead' }
 
-/** Result of a handler: the change of role that it leads to, if any. */
+/** Result of a handler: a role transition, or `undefined` to stay in the current role. */
 export type RoleResult = RoleChange | undefined
 
 /** A message of one kind. */
@@ -20,7 +20,7 @@
 export type EventOf<Command, Kind extends ReplicaEvent<Command>['kind']> =
   Extract<ReplicaEvent<Command>, { kind: Kind }>
 
-/** Behaviour of a replica in one role. What a role does not override has no effect in it. */
+/** Behaviour of a replica in one role. The defaults ignore messages and reject proposals. */
 export abstract class Role<Command> {
   abstract readonly name: ReplicaRole
   protected readonly state: ReplicaState<Command>
@@ -29,21 +29,21 @@
     this.state = state
   }
 
-  /** Monotonic time of the next thing that this role does on its own. */
+  /** Monotonic time at which the next `tick` is due; `Infinity` if none is. */
   abstract nextWakeAtMs (): number
 
-  /** Does what is due. */
+  /** Handles the timeouts that are due. */
   abstract tick (): RoleResult
 
-  /** Runs once when the role starts. */
-  begin (): RoleResult {
+  /** Called once when the replica enters this role. */
+  enter (): RoleResult {
     return undefined
   }
 
-  /** Runs once when the role ends. */
-  end (): void {}
+  /** Called once when the replica leaves this role. */
+  exit (): void {}
 
-  /** Runs before every event, so that a role that expired while the process stood still does not act on it. */
+  /** Called before every event, so that a role that expired while the process was paused does not handle the event. */
   checkExpiry (): RoleResult {
     return undefined
   }
@@ -53,34 +53,34 @@
     return undefined
   }
 
-  /** Appends a command, or rejects it. */
+  /** Appends a command or rejects the proposal. */
   propose (event: EventOf<Command, 'propose'>): RoleResult {
-    this.state.reject(event.proposalId, 'not_leader')
+    this.state.rejectProposal(event.proposalId, 'not_leader')
     return undefined
   }
 
-  /** Starts the replacement of a voter, or rejects it. */
+  /** Starts the replacement of a voter or rejects the proposal. */
   replaceVoter (event: EventOf<Command, 'replace_voter'>): RoleResult {
-    this.state.reject(event.proposalId, 'not_leader')
+    this.state.rejectProposal(event.proposalId, 'not_leader')
     return undefined
   }
 
-  /** Runs after a sync of the disk. */
-  persisted (): RoleResult {
+  /** Called after a sync of the disk has completed. */
+  onPersisted (): RoleResult {
     return undefined
   }
 
-  /** Hands leadership over. */
+  /** Transfers leadership to another voter. */
   stepDown (): RoleResult {
     return undefined
   }
 
-  /** How many more voters may be lost with nothing lost and service going on; null where this replica cannot tell. */
+  /** Number of further voters that may fail without loss of data or availability; `null` unless this replica leads. */
   survivableLosses (): number | null {
     return null
   }
 
-  /** Whether this replica may answer reads. */
+  /** Whether this replica may serve reads from its own state. */
   hasQuorumLease (_nowMs: number): boolean {
     return false
   }
--- a/packages/consensus/src/settings.ts
+++ b/packages/consensus/src/settings.ts
@@ -1,49 +1,52 @@
-/** Settings of a replica. */
+/** Timeouts, intervals and limits of a replica, their defaults and their validation. */
 
-/** Every number that a replica uses. */
+/** Timeouts, intervals and limits of a replica. */
 export interface ReplicaSettings {
-  /** Interval between two rounds of heartbeats. */
+  /** Interval between rounds of heartbeats. */
   readonly heartbeatMs: number
-  /** A follower campaigns after a random silence of the leader between these two; below the first it refuses votes. */
+  /**
+   * Range of the randomised election timeout. A replica that had contact with a leader within `electionMinMs` rejects
+   * vote requests.
+   */
   readonly electionMinMs: number
   readonly electionMaxMs: number
-  /** A pre-vote that found no majority is repeated after a random time between these two. */
+  /** Range of the randomised delay after which a pre-vote without a majority is repeated. */
   readonly preVoteRetryMinMs: number
   readonly preVoteRetryMaxMs: number
-  /** A campaign that found no majority ends after a random time between these two. */
+  /** Range of the randomised timeout after which a campaign without a majority ends. */
   readonly campaignMinMs: number
   readonly campaignMaxMs: number
-  /** A leader that a majority has not answered for this long steps down. */
+  /** A leader steps down when it has had no response from a majority for this long. */
   readonly checkQuorumMs: number
-  /** How long the answer of a majority entitles a leader to answer reads. */
+  /** How long the responses of a majority allow the leader to serve reads from its own state. */
   readonly leaseMs: number
-  /** Largest relative difference between the rates of two clocks. */
+  /** Upper bound of the relative difference between the rates of two clocks. */
   readonly clockRateBound: number
-  /** Bounds of one append message. */
+  /** Limits of one append request. */
   readonly maxAppendEntries: number
   readonly maxAppendBytes: number
-  /** Bounds of what is sent to one replica and not yet answered. */
+  /** Limits of the append requests to one replica that are in flight. */
   readonly maxInflightAppends: number
   readonly maxInflightBytes: number
-  /** Proposals are rejected while this much waits for a commit. */
+  /** Proposals are rejected while the uncommitted part of the log has reached either limit. */
   readonly maxUncommittedEntries: number
   readonly maxUncommittedBytes: number
-  /** Size of one piece of a snapshot, and when it is sent again. */
+  /** Size of one snapshot chunk, and the time after which an unacknowledged chunk is sent again. */
   readonly snapshotChunkBytes: number
   readonly snapshotResendMs: number
-  /** What is kept of the log behind a snapshot for replicas that are a little behind. */
+  /** Limits of the entries kept before a snapshot, so that a slightly lagging replica does not need the snapshot. */
   readonly keepTailEntries: number
   readonly keepTailBytes: number
-  /** A new voter has caught up when it is at most this many entries behind. */
+  /** A learner has caught up when it lags by at most this many entries. */
   readonly learnerMaxLagEntries: number
-  /** A replacement ends without effect when the new voter is silent for this long. */
+  /** A replacement is aborted when the new voter has not responded for this long. */
   readonly learnerSilenceMs: number
-  /** A transfer of leadership is given up after this time. */
+  /** Time after which a leadership transfer is abandoned. */
   readonly transferTimeoutMs: number
 }
 
 /**
- * Defaults for 12 ms one-way delay between regions and disks that take up to 100 ms for a sync.
+ * Defaults for a one-way network delay of 12 ms between regions and disks that take up to 100 ms to sync.
  *
  * @example
  * const settings: ReplicaSettings = { ...defaultReplicaSettings, heartbeatMs: 50 }
@@ -75,16 +78,17 @@
 }
 
 /**
- * Throws a `RangeError` for settings under which an old leader could answer beside a new one.
+ * Throws a `RangeError` for settings under which a deposed leader could still serve reads after the next leader is
+ * elected.
  *
  * @example
- * checkSettings({ ...defaultReplicaSettings, leaseMs: 700 }) // throws
+ * validateSettings({ ...defaultReplicaSettings, leaseMs: 700 }) // throws
  */
-export function checkSettings (settings: ReplicaSettings): void {
-  const latestMs = settings.electionMinMs * (1 - settings.clockRateBound)
-  const slowest = 1 + settings.clockRateBound
-  if (settings.leaseMs * slowest > latestMs) throw new RangeError('leaseMs must end before electionMinMs on any clock')
-  if (settings.checkQuorumMs * slowest > latestMs) {
-    throw new RangeError('checkQuorumMs must end before electionMinMs on any clock')
+export function validateSettings (settings: ReplicaSettings): void {
+  const maxDurationMs = settings.electionMinMs * (1 - settings.clockRateBound)
+  const maxRateFactor = 1 + settings.clockRateBound
+  if (settings.leaseMs * maxRateFactor > maxDurationMs) throw new RangeError('leaseMs must be shorter than electionMinMs at every allowed clock rate')
+  if (settings.checkQuorumMs * maxRateFactor > maxDurationMs) {
+    throw new RangeError('checkQuorumMs must be shorter than electionMinMs at every allowed clock rate')
   }
 }
--- a/packages/consensus/src/snapshot-transfer.ts
+++ b/packages/consensus/src/snapshot-transfer.ts
@@ -1,9 +1,9 @@
-/** Transfer of a snapshot in pieces (section 7 of the Raft paper). */
+/** Transfer of a snapshot in chunks (section 7 of the Raft paper). */
 import type { Snapshot, VoterId } from './messages.js'
 import type { MessageOf } from './role.js'
 import { sameVoter } from './voters.js'
 
-/** The leader's side: one piece is under way at a time. */
+/** Sends the chunks of a snapshot from the leader; at most one chunk is in flight. */
 export class SnapshotSender {
   readonly snapshot: Snapshot
   readonly #chunkBytes: number
@@ -15,19 +15,19 @@
     this.#chunkBytes = chunkBytes
   }
 
-  /** Whether the piece under way was sent `resendMs` ago or earlier. */
+  /** Whether the chunk in flight was sent at least `resendMs` ago. */
   isStalled (nowMs: number, resendMs: number): boolean {
     return nowMs - this.#sentAtMs >= resendMs
   }
 
-  /** The piece to send now. */
+  /** Returns the chunk to send now and records its send time. */
   nextChunk<Command> (term: number, nowMs: number): MessageOf<Command, 'snapshot_chunk'> {
-    const { content, ...description } = this.snapshot
+    const { content, ...metadata } = this.snapshot
     this.#sentAtMs = nowMs
     return {
       kind: 'snapshot_chunk',
       term,
-      snapshot: description,
+      snapshot: metadata,
       offsetBytes: this.#offsetBytes,
       totalBytes: content.byteLength,
       chunk: content.subarray(this.#offsetBytes, this.#offsetBytes + this.#chunkBytes)
@@ -35,25 +35,25 @@
   }
 
   /**
-   * Takes an acknowledgement in: `done` when all of it is durable, `continue` when the next piece should be sent,
-   * `ignore` for one that was delayed or doubled.
+   * Handles an acknowledgement. Returns `done` if the whole snapshot is durable, `continue` if the next chunk should be
+   * sent, and `ignore` for a delayed or duplicate acknowledgement.
    */
-  acknowledge (lastIndex: number, receivedBytes: number): 'done' | 'continue' | 'ignore' {
+  handleAck (lastIndex: number, receivedBytes: number): 'done' | 'continue' | 'ignore' {
     const totalBytes = this.snapshot.content.byteLength
     if (lastIndex !== this.snapshot.lastIndex) return 'ignore'
     if (receivedBytes === totalBytes) return 'done'
-    const underWayBytes = Math.min(totalBytes, this.#offsetBytes + this.#chunkBytes)
+    const inFlightEndBytes = Math.min(totalBytes, this.#offsetBytes + this.#chunkBytes)
     const isRestart = receivedBytes === 0 && this.#offsetBytes > 0
-    if (receivedBytes !== underWayBytes && !isRestart) return 'ignore'
+    if (receivedBytes !== inFlightEndBytes && !isRestart) return 'ignore'
     this.#offsetBytes = receivedBytes
     return 'continue'
   }
 }
 
-/** The follower's side: puts the pieces of one snapshot of one leader together. */
+/** Assembles a snapshot on a follower from the chunks that one leader sends. */
 export class SnapshotReceiver<Command> {
   #from: VoterId | null = null
-  #description: Omit<Snapshot, 'content'> | null = null
+  #metadata: Omit<Snapshot, 'content'> | null = null
   #term = 0
   #totalBytes = 0
   #chunks: Uint8Array[] = []
@@ -63,36 +63,36 @@
     return this.#receivedBytes
   }
 
-  /** Takes a piece in; returns the snapshot once it is complete. */
+  /** Adds a chunk; returns the snapshot once it is complete. */
   receive (from: VoterId, message: MessageOf<Command, 'snapshot_chunk'>): Snapshot | undefined {
-    if (!this.#continues(from, message)) this.#restart(from, message)
+    if (!this.#isSameTransfer(from, message)) this.#restart(from, message)
     if (message.offsetBytes !== this.#receivedBytes) return undefined
     this.#chunks.push(message.chunk)
     this.#receivedBytes += message.chunk.byteLength
     if (this.#receivedBytes < message.totalBytes) return undefined
     const snapshot = { ...message.snapshot, content: joinChunks(this.#chunks, this.#receivedBytes) }
-    this.clear()
+    this.reset()
     return snapshot
   }
 
-  /** Drops what was received. */
-  clear (): void {
+  /** Discards the chunks received so far. */
+  reset (): void {
     this.#from = null
     this.#chunks = []
     this.#receivedBytes = 0
   }
 
-  #continues (from: VoterId, message: MessageOf<Command, 'snapshot_chunk'>): boolean {
+  #isSameTransfer (from: VoterId, message: MessageOf<Command, 'snapshot_chunk'>): boolean {
     return this.#from !== null && sameVoter(this.#from, from) && this.#term === message.term &&
-      this.#totalBytes === message.totalBytes && this.#description?.lastIndex === message.snapshot.lastIndex
+      this.#totalBytes === message.totalBytes && this.#metadata?.lastIndex === message.snapshot.lastIndex
   }
 
   #restart (from: VoterId, message: MessageOf<Command, 'snapshot_chunk'>): void {
-    this.clear()
+    this.reset()
     this.#from = from
     this.#term = message.term
     this.#totalBytes = message.totalBytes
-    this.#description = message.snapshot
+    this.#metadata = message.snapshot
   }
 }
 
--- a/packages/consensus/src/state.ts
+++ b/packages/consensus/src/state.ts
@@ -1,38 +1,38 @@
-/** What every role of a replica works on. */
+/** State of a replica that all its roles share. */
 import type { Random } from '@comfreygrade/core'
 import { ReplicatedLog } from './log.js'
-import { Membership } from './membership.js'
+import { ConfigurationHistory } from './configuration-history.js'
 import type {
   ConsensusMessage, LogEntry, RecoveredLog, RejectionReason, ReplicaEffect, ReplicaRole, Snapshot, VoterId
 } from './messages.js'
-import { PersistQueue, type OutgoingMessage } from './persistence.js'
-import { ProposalTable } from './proposals.js'
-import { checkSettings, type ReplicaSettings } from './settings.js'
+import { PersistQueue, type OutgoingMessage } from './persist-queue.js'
+import { PendingProposals } from './pending-proposals.js'
+import { validateSettings, type ReplicaSettings } from './settings.js'
 import { allVoters, includesVoter, sameVoter, type VoterConfiguration } from './voters.js'
 
-/** What a replica is built from. */
+/** Constructor options of a replica. */
 export interface ReplicaOptions<Command> {
   readonly id: VoterId
   readonly settings: ReplicaSettings
   readonly recovered: RecoveredLog<Command>
   readonly random: Random
   /**
-   * Log time in milliseconds from which the first leader of an empty log starts, usually the wall clock at the start of
-   * the node. It is not used once the log holds a log time.
+   * Initial log time in milliseconds for the first leader of an empty log, usually the wall-clock time at which the
+   * node started. Not used once the log contains a log time.
    */
   readonly originLogTimeMs?: number
 }
 
-/** Terms, votes, log, commits and the effects of the step at hand. */
+/** Term, vote, log, commit index and election timeout, and the effects of the current step. */
 export class ReplicaState<Command> {
   readonly id: VoterId
   readonly settings: ReplicaSettings
   readonly log: ReplicatedLog<Command>
   readonly originLogTimeMs: number
   readonly #random: Random
-  readonly #membership = new Membership<Command>()
-  readonly #disk = new PersistQueue<Command>()
-  readonly #proposals = new ProposalTable()
+  readonly #configurations = new ConfigurationHistory<Command>()
+  readonly #persistQueue = new PersistQueue<Command>()
+  readonly #pendingProposals = new PendingProposals()
   #effects: Array<ReplicaEffect<Command>> = []
   #term: number
   #votedFor: VoterId | null
@@ -40,11 +40,11 @@
   #leader: VoterId | null = null
   #commitIndex: number
   #nowMs = -Infinity
-  #heardLeaderMs = -Infinity
-  #electionAtMs = Infinity
+  #leaderContactMs = -Infinity
+  #electionTimeoutAtMs = Infinity
 
   constructor (options: ReplicaOptions<Command>) {
-    checkSettings(options.settings)
+    validateSettings(options.settings)
     this.id = options.id
     this.settings = options.settings
     this.originLogTimeMs = options.originLogTimeMs ?? 0
@@ -53,8 +53,8 @@
     this.#term = options.recovered.hardState.term
     this.#votedFor = options.recovered.hardState.votedFor
     this.#commitIndex = options.recovered.snapshot?.lastIndex ?? 0
-    if (options.recovered.snapshot !== null) this.#membership.replaceBy(options.recovered.snapshot)
-    this.#membership.append(options.recovered.entries)
+    if (options.recovered.snapshot !== null) this.#configurations.resetTo(options.recovered.snapshot)
+    this.#configurations.append(options.recovered.entries)
   }
 
   get term (): number {
@@ -81,170 +81,170 @@
     return this.#nowMs
   }
 
-  /** When a follower starts a pre-vote. */
-  get electionAtMs (): number {
-    return this.#electionAtMs
+  /** Monotonic time at which a follower starts a pre-vote. */
+  get electionTimeoutAtMs (): number {
+    return this.#electionTimeoutAtMs
   }
 
-  /** The voter sets in force. */
+  /** The voter configuration in effect. */
   get configuration (): VoterConfiguration {
-    return this.#membership.current.configuration
+    return this.#configurations.current.configuration
   }
 
-  /** Index of the entry that brought the voter sets in force. */
+  /** Index of the entry that introduced the configuration in effect. */
   get configurationIndex (): number {
-    return this.#membership.current.index
+    return this.#configurations.current.index
   }
 
   get isVoter (): boolean {
     return includesVoter(allVoters(this.configuration), this.id)
   }
 
-  /** Greatest index that is on this disk. */
+  /** Last index up to which the log is synced to this replica's disk. */
   get durableIndex (): number {
-    return this.#disk.durableIndex(this.log.lastIndex)
+    return this.#persistQueue.durableIndex(this.log.lastIndex)
   }
 
-  /** Whether a leader was heard so recently that its lease may still run. */
+  /** Whether the last contact with a leader is so recent that its lease may still be valid. */
   get hasRecentLeader (): boolean {
-    return this.#nowMs - this.#heardLeaderMs < this.settings.electionMinMs
+    return this.#nowMs - this.#leaderContactMs < this.settings.electionMinMs
   }
 
-  /** Starts a step at `nowMs`. */
-  advanceTo (nowMs: number): void {
+  /** Starts a step at `nowMs`; time never goes back. */
+  advanceClock (nowMs: number): void {
     this.#nowMs = Math.max(this.#nowMs, nowMs)
   }
 
-  /** Ends a step and returns its effects. */
+  /** Ends the current step and returns its effects. */
   takeEffects (): Array<ReplicaEffect<Command>> {
     const effects = this.#effects
     this.#effects = []
     return effects
   }
 
-  /** A random whole number of milliseconds between the two bounds. */
-  randomMs (lowMs: number, highMs: number): number {
-    return this.#random.nextInt(lowMs, highMs)
+  /** Returns a random whole number of milliseconds between both bounds, inclusive. */
+  randomDelayMs (minMs: number, maxMs: number): number {
+    return this.#random.nextInt(minMs, maxMs)
   }
 
-  /** Notes that the leader was heard, which postpones the next election. */
-  heardLeader (): void {
-    this.#heardLeaderMs = this.#nowMs
-    this.postponeElection()
+  /** Records contact with the leader and resets the election timeout. */
+  recordLeaderContact (): void {
+    this.#leaderContactMs = this.#nowMs
+    this.resetElectionTimeout()
   }
 
-  /** Draws the next election timeout. */
-  postponeElection (): void {
+  /** Chooses a new random election timeout that starts now. */
+  resetElectionTimeout (): void {
     const { electionMinMs, electionMaxMs } = this.settings
-    this.#electionAtMs = this.#nowMs + this.randomMs(electionMinMs, electionMaxMs)
+    this.#electionTimeoutAtMs = this.#nowMs + this.randomDelayMs(electionMinMs, electionMaxMs)
   }
 
-  /** Changes the role and tells the adapters if anything about it changed. */
+  /** Sets the role and the known leader; emits `role_changed` if either differs from before. */
   setRole (role: ReplicaRole, leader: VoterId | null): void {
-    if (role === this.#role && isSameOrNone(leader, this.#leader)) return
+    if (role === this.#role && isSameLeader(leader, this.#leader)) return
     this.#role = role
     this.#leader = leader
     this.#effects.push({ kind: 'role_changed', role, term: this.#term, leader })
   }
 
-  /** Sets term and vote and gives them to the disk. */
+  /** Sets term and vote and persists them. */
   setHardState (term: number, votedFor: VoterId | null): void {
     this.#term = term
     this.#votedFor = votedFor
-    this.#effects.push(this.#disk.add({ hardState: { term, votedFor }, entries: [] }))
+    this.#effects.push(this.#persistQueue.enqueue({ hardState: { term, votedFor }, entries: [] }))
   }
 
-  /** Sends a message that promises nothing. */
+  /** Sends a message at once; only for messages that do not depend on durable state. */
   send (to: VoterId, message: ConsensusMessage<Command>): void {
     this.#effects.push({ kind: 'send', to, message })
   }
 
   /** Sends a message once the latest term and vote are on disk. */
-  sendInTerm (to: VoterId, message: ConsensusMessage<Command>): void {
-    if (!this.#disk.holdForHardState({ to, message })) this.send(to, message)
+  sendAfterHardStateSync (to: VoterId, message: ConsensusMessage<Command>): void {
+    if (!this.#persistQueue.deferUntilHardStateSynced({ to, message })) this.send(to, message)
   }
 
-  /** Sends a message that promises durability once everything given to the disk so far is synced. */
-  sendWhenDurable (to: VoterId, message: ConsensusMessage<Command>): void {
-    if (!this.#disk.holdForAll({ to, message })) this.send(to, message)
+  /** Sends a message that promises durability, once all pending writes are synced. */
+  sendAfterSync (to: VoterId, message: ConsensusMessage<Command>): void {
+    if (!this.#persistQueue.deferUntilSynced({ to, message })) this.send(to, message)
   }
 
-  /** Notes a sync; returns the messages that waited for it and still belong to the current term. */
+  /** Records a completed sync; returns the messages deferred until it that still belong to the current term. */
   completePersist (persistId: number): Array<OutgoingMessage<Command>> {
-    return this.#disk.complete(persistId).filter(({ message }) => message.term === this.#term)
+    return this.#persistQueue.complete(persistId).filter(({ message }) => message.term === this.#term)
   }
 
-  /** Appends entries, of which the first may overwrite the log from its index on, and gives them to the disk. */
+  /** Appends entries and persists them; if the first one's index already exists, the log is truncated from there on. */
   append (entries: ReadonlyArray<LogEntry<Command>>): void {
     const first = entries[0]
     if (first === undefined) return
     if (first.index <= this.log.lastIndex) this.#truncateFrom(first.index)
     this.log.append(entries)
-    this.#membership.append(entries)
-    this.#effects.push(this.#disk.add({ entries }))
+    this.#configurations.append(entries)
+    this.#effects.push(this.#persistQueue.enqueue({ entries }))
   }
 
   #truncateFrom (index: number): void {
-    if (index <= this.#commitIndex) throw new Error(`index ${index} is committed and cannot be overwritten`)
+    if (index <= this.#commitIndex) throw new Error(`cannot overwrite the committed entry at index ${index}`)
     this.log.truncateFrom(index)
-    this.#membership.truncateFrom(index)
-    for (const proposalId of this.#proposals.takeFrom(index)) this.reject(proposalId, 'lost')
+    this.#configurations.truncateFrom(index)
+    for (const proposalId of this.#pendingProposals.takeFrom(index)) this.rejectProposal(proposalId, 'lost')
   }
 
-  /** Takes note of a proposal of this replica that was appended at `index`. */
+  /** Records that a proposal made on this replica was appended at `index`. */
   trackProposal (index: number, proposalId: string): void {
-    this.#proposals.add(index, proposalId)
+    this.#pendingProposals.add(index, proposalId)
   }
 
-  /** Answers a proposal that has no effect. */
-  reject (proposalId: string, reason: RejectionReason): void {
+  /** Reports that a proposal was rejected; see `RejectionReason` for what each reason means. */
+  rejectProposal (proposalId: string, reason: RejectionReason): void {
     this.#effects.push({ kind: 'proposal_rejected', proposalId, reason, leader: this.#leader })
   }
 
-  /** Commits everything up to `index` and applies it. */
+  /** Commits the entries up to `index` and emits `apply` for them. */
   commitTo (index: number): void {
-    const last = Math.min(index, this.log.lastIndex)
-    if (last <= this.#commitIndex) return
-    const entries = this.log.range(this.#commitIndex + 1, last)
-    this.#commitIndex = last
-    for (const entry of entries) this.#proposals.commit(entry.index)
+    const newCommitIndex = Math.min(index, this.log.lastIndex)
+    if (newCommitIndex <= this.#commitIndex) return
+    const entries = this.log.range(this.#commitIndex + 1, newCommitIndex)
+    this.#commitIndex = newCommitIndex
+    for (const entry of entries) this.#pendingProposals.remove(entry.index)
     this.#effects.push({ kind: 'apply', entries })
   }
 
-  /** Gives the snapshot found on the disk to the state machine. */
-  restoreRecovered (): void {
+  /** Restores the state machine from the snapshot recovered from disk, if there is one. */
+  restoreRecoveredSnapshot (): void {
     if (this.log.snapshot !== null) this.#effects.push({ kind: 'restore', snapshot: this.log.snapshot })
   }
 
-  /** Replaces log and state machine by a snapshot of the leader. */
-  install (snapshot: Snapshot): void {
-    this.log.replaceBy(snapshot)
-    this.#membership.replaceBy(snapshot)
+  /** Replaces the log and the state machine with a snapshot received from the leader. */
+  installSnapshot (snapshot: Snapshot): void {
+    this.log.resetTo(snapshot)
+    this.#configurations.resetTo(snapshot)
     this.#commitIndex = snapshot.lastIndex
-    for (const proposalId of this.#proposals.takeFrom(0)) this.reject(proposalId, 'unknown')
-    this.#effects.push(this.#disk.add({ snapshot, entries: [] }), { kind: 'restore', snapshot })
+    for (const proposalId of this.#pendingProposals.takeFrom(0)) this.rejectProposal(proposalId, 'unknown')
+    this.#effects.push(this.#persistQueue.enqueue({ snapshot, entries: [] }), { kind: 'restore', snapshot })
   }
 
-  /** Drops the part of the log that a saved snapshot covers. */
+  /** Discards the entries that a saved snapshot covers, apart from the trailing ones to keep. */
   compact (snapshot: Snapshot): void {
-    if (snapshot.lastIndex > this.#commitIndex) throw new RangeError('a snapshot covers committed entries only')
+    if (snapshot.lastIndex > this.#commitIndex) throw new RangeError('the snapshot includes entries beyond the commit index')
     const { keepTailEntries, keepTailBytes } = this.settings
     this.log.compact(snapshot, { maxEntries: keepTailEntries, maxBytes: keepTailBytes })
-    this.#membership.compact(this.log.baseIndex)
+    this.#configurations.compact(this.log.baseIndex)
   }
 
-  /** Position and voter sets of a snapshot at `lastIndex`. */
+  /** Returns the metadata of a snapshot at `lastIndex`: position, log time and voter configuration. */
   describeSnapshot (lastIndex: number): Omit<Snapshot, 'content'> {
     const lastTerm = this.log.termAt(lastIndex)
     const logTimeMs = this.log.logTimeAt(lastIndex)
     if (lastTerm === undefined || logTimeMs === undefined || lastIndex > this.#commitIndex) {
-      throw new RangeError(`index ${lastIndex} is not a committed entry of the log in memory`)
+      throw new RangeError(`no committed entry at index ${lastIndex} in memory`)
     }
-    return { lastIndex, lastTerm, logTimeMs, ...this.#membership.at(lastIndex) }
+    return { lastIndex, lastTerm, logTimeMs, ...this.#configurations.at(lastIndex) }
   }
 }
 
-function isSameOrNone (one: VoterId | null, other: VoterId | null): boolean {
-  if (one === null || other === null) return one === other
-  return sameVoter(one, other)
+function isSameLeader (left: VoterId | null, right: VoterId | null): boolean {
+  if (left === null || right === null) return left === right
+  return sameVoter(left, right)
 }
--- a/packages/consensus/src/voters.ts
+++ b/packages/consensus/src/voters.ts
@@ -2,8 +2,8 @@
 import type { VoterId } from './messages.js'
 
 /**
- * The sets that decide. While a replacement is under way both must agree (joint consensus, section 4.3 of the Raft
- * thesis): replacing a voter in one step would allow two majorities without a common member.
+ * The voter sets whose majorities decide. Replacing a voter in one step would allow two majorities without a common
+ * member, so a replacement uses joint consensus, in which both sets must agree (section 4.3 of the Raft thesis).
  */
 export interface VoterConfiguration {
   readonly voters: readonly VoterId[]
@@ -11,7 +11,7 @@
 }
 
 /**
- * Key of a voter for maps.
+ * Returns a string that identifies a voter, for use as a map key.
  *
  * @example
  * voterKey({ nodeId: 'salto-1', diskId: '4f1c' }) // 'salto-1/4f1c'
@@ -21,7 +21,7 @@
 }
 
 /**
- * Whether both are the same node with the same disk.
+ * Whether both identify the same node with the same disk.
  *
  * @example
  * sameVoter({ nodeId: 'salto-1', diskId: 'a' }, { nodeId: 'salto-1', diskId: 'b' }) // false
@@ -31,7 +31,7 @@
 }
 
 /**
- * Whether `voters` holds `voter`.
+ * Whether `voters` contains `voter`.
  *
  * @example
  * includesVoter(replica.voters, id)
@@ -40,35 +40,35 @@
   return voters.some(candidate => sameVoter(candidate, voter))
 }
 
-/** Every voter of either set, once. */
+/** The union of both voter sets. */
 export function allVoters (configuration: VoterConfiguration): VoterId[] {
   const extra = configuration.outgoingVoters.filter(voter => !includesVoter(configuration.voters, voter))
   return [...configuration.voters, ...extra]
 }
 
-/** Whether a replacement is under way in this configuration. */
+/** Whether this is a joint configuration, with two voter sets. */
 export function isJoint (configuration: VoterConfiguration): boolean {
   return configuration.outgoingVoters.length > 0
 }
 
 /**
- * The greatest value that a majority of each deciding set has reached; `-Infinity` without voters.
+ * Returns the greatest value that a majority of each voter set has reached; `-Infinity` without voters.
  *
  * @example
  * majorityValue({ voters: [a, b, c], outgoingVoters: [] }, voter => matchIndexOf(voter))
  */
 export function majorityValue (configuration: VoterConfiguration, valueOf: (voter: VoterId) => number): number {
-  const incoming = majorityValueOfSet(configuration.voters, valueOf)
+  const incoming = majorityValueOf(configuration.voters, valueOf)
   if (!isJoint(configuration)) return incoming
-  return Math.min(incoming, majorityValueOfSet(configuration.outgoingVoters, valueOf))
+  return Math.min(incoming, majorityValueOf(configuration.outgoingVoters, valueOf))
 }
 
-function majorityValueOfSet (voters: readonly VoterId[], valueOf: (voter: VoterId) => number): number {
+function majorityValueOf (voters: readonly VoterId[], valueOf: (voter: VoterId) => number): number {
   const values = voters.map(valueOf).sort((a, b) => b - a)
   return values[Math.floor(values.length / 2)] ?? -Infinity
 }
 
-/** Whether a majority of each deciding set satisfies `isCounted`. */
-export function hasMajority (configuration: VoterConfiguration, isCounted: (voter: VoterId) => boolean): boolean {
-  return majorityValue(configuration, voter => isCounted(voter) ? 1 : 0) === 1
+/** Whether a majority of each voter set satisfies `predicate`. */
+export function hasMajority (configuration: VoterConfiguration, predicate: (voter: VoterId) => boolean): boolean {
+  return majorityValue(configuration, voter => predicate(voter) ? 1 : 0) === 1
 }
--- a/packages/consensus/test/fake-disk.ts
+++ b/packages/consensus/test/fake-disk.ts
@@ -3,39 +3,39 @@
 export type PersistEffect = Extract<ReplicaEffect<string>, { kind: 'persist' }>
 type Write = PersistEffect | { readonly kind: 'snapshot', readonly snapshot: Snapshot }
 
-/** Disk port of the simulation: writes become durable in order; a crash loses the tail that is not synced. */
+/** Simulated disk: writes become durable in order, one sync at a time; a crash discards the unsynced ones. */
 export class FakeDisk {
   durable: RecoveredLog<string>
-  #unsynced: Write[] = []
+  #unsyncedWrites: Write[] = []
 
   constructor (initial: RecoveredLog<string>) {
     this.durable = initial
   }
 
   write (write: Write): void {
-    this.#unsynced.push(write)
+    this.#unsyncedWrites.push(write)
   }
 
   /** Makes the oldest write durable. */
   syncOne (): Write | undefined {
-    const write = this.#unsynced.shift()
+    const write = this.#unsyncedWrites.shift()
     if (write?.kind === 'persist') this.durable = applyPersist(this.durable, write)
     if (write?.kind === 'snapshot') this.durable = applySnapshot(this.durable, write.snapshot)
     return write
   }
 
-  crash (): void {
-    this.#unsynced = []
+  dropUnsyncedWrites (): void {
+    this.#unsyncedWrites = []
   }
 }
 
 function applyPersist (log: RecoveredLog<string>, effect: PersistEffect): RecoveredLog<string> {
   const base = effect.snapshot === undefined ? log : { ...log, snapshot: effect.snapshot, entries: [] }
   const hardState = effect.hardState ?? log.hardState
-  return { hardState, snapshot: base.snapshot, entries: overwrite(base.entries, effect.entries) }
+  return { hardState, snapshot: base.snapshot, entries: overwriteEntries(base.entries, effect.entries) }
 }
 
-function overwrite (
+function overwriteEntries (
   entries: ReadonlyArray<LogEntry<string>>, added: ReadonlyArray<LogEntry<string>>
 ): ReadonlyArray<LogEntry<string>> {
   const first = added[0]
--- a/packages/core/src/clock.ts
+++ b/packages/core/src/clock.ts
@@ -1,19 +1,19 @@
 /**
- * Time source of the decision code.
+ * Port to the monotonic and the wall clock.
  *
  * @example
  * const clock: Clock = new ManualClock()
  * const startedMs = clock.monotonicMs()
  */
 export interface Clock {
-  /** Milliseconds since an arbitrary origin; never goes back. Leases and timeouts use only this. */
+  /** Milliseconds since an arbitrary origin; never goes back. Leases and timeouts use this clock only. */
   monotonicMs (): number
-  /** Milliseconds since the Unix epoch; may jump. For display and for times of issue. */
+  /** Milliseconds since the Unix epoch; may jump. Only for timestamps that are displayed, stored or sent. */
   wallMs (): number
 }
 
 /**
- * A clock that moves only when told to, for tests and benchmarks.
+ * A clock that advances only on request, for tests and benchmarks.
  *
  * @example
  * const clock = new ManualClock()
@@ -37,15 +37,15 @@
     return this.#wallMs
   }
 
-  /** Moves both readings forward by `elapsedMs`. */
+  /** Advances both clocks by `elapsedMs`. */
   advance (elapsedMs: number): void {
-    if (elapsedMs < 0) throw new RangeError('monotonic time cannot go back')
+    if (elapsedMs < 0) throw new RangeError('cannot advance a clock by a negative time')
     this.#monotonicMs += elapsedMs
     this.#wallMs += elapsedMs
   }
 
-  /** Makes the wall clock jump, as a time correction of the operating system does. */
-  jumpWallTo (wallMs: number): void {
+  /** Sets the wall clock only, as a time correction by the operating system does. */
+  setWallTime (wallMs: number): void {
     this.#wallMs = wallMs
   }
 }
--- a/packages/core/src/configuration-schema.ts
+++ b/packages/core/src/configuration-schema.ts
@@ -1,7 +1,7 @@
-/** Schemas and types of the records that operators edit, of changes and of the whole document. */
+/** Schemas and types of configuration records, configuration changes and the configuration document. */
 import { z } from 'zod'
 
-/** Identifiers are used in paths, metrics and logs, so their alphabet is narrow. */
+/** Identifiers appear in URL paths, metrics and logs, so only a few characters are allowed. */
 const identifier = z.string().regex(/^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$/)
 
 const rackSchema = z.strictObject({
@@ -13,7 +13,7 @@
 const workerSchema = z.strictObject({
   workerId: identifier,
   rackId: identifier,
-  /** Position in the rack, from 0; neighbours form cells. */
+  /** Position in the rack, from 0; workers at adjacent positions form cells. */
   rackPosition: z.int().min(0).max(255),
   cores: z.int().min(1).max(4096),
   memoryGb: z.int().min(1).max(65_536),
@@ -23,9 +23,9 @@
 
 const organisationSchema = z.strictObject({
   organisationId: identifier,
-  /** Accelerators that the organisation may hold at once, lent ones included. */
+  /** Maximum number of accelerators in use by the organisation at any time, including lent ones. */
   quotaAccelerators: z.int().min(0).max(1_000_000),
-  /** Share of request slots and of waiting jobs against other organisations. */
+  /** Weight in the fair sharing of request slots and in the order of waiting jobs, relative to other organisations. */
   weight: z.number().min(0.01).max(1000)
 })
 
@@ -33,32 +33,35 @@
   guaranteeId: identifier,
   organisationId: identifier,
   acceleratorModel: identifier,
-  /** Adjacent accelerators in one guaranteed cell; a power of two, above a worker's size it spans a rack. */
-  acceleratorsPerCell: z.int().min(1).max(65_536).refine(count => (count & (count - 1)) === 0, 'a power of two'),
+  /**
+   * Number of adjacent accelerators in one guaranteed cell; a power of two. A cell larger than a worker spans several
+   * workers of one rack.
+   */
+  acceleratorsPerCell: z.int().min(1).max(65_536).refine(count => (count & (count - 1)) === 0, 'must be a power of two'),
   cells: z.int().min(1).max(100_000)
 })
 
 const rulesSchema = z.strictObject({
   maxGangTasks: z.int().min(1).max(64),
-  /** Time within which lent capacity is taken back. */
+  /** Time limit for reclaiming lent capacity. */
   reclaimWithinMs: z.int().min(100).max(600_000),
   maxRequestBodyBytes: z.int().min(1).max(64 * 1024 * 1024),
   defaultDeadlineMs: z.int().min(1).max(600_000),
   maxDeadlineMs: z.int().min(1).max(3_600_000)
 })
 
-/** A rack and where it stands. */
+/** A rack and its region and availability zone. */
 export type Rack = z.infer<typeof rackSchema>
-/** A worker VM as the asset register lists it. */
+/** A worker VM as listed in the asset register. */
 export type Worker = z.infer<typeof workerSchema>
 /** An organisation, or a team with a quota. */
 export type Organisation = z.infer<typeof organisationSchema>
-/** Guaranteed cells of an organisation. */
+/** A number of cells guaranteed to an organisation. */
 export type Guarantee = z.infer<typeof guaranteeSchema>
-/** Operators' rules. */
+/** Limits and defaults that operators set for the whole system. */
 export type Rules = z.infer<typeof rulesSchema>
 
-/** Kinds of keyed records in a configuration. */
+/** Kinds of configuration records that have an identifier. */
 export type RecordKind = 'rack' | 'worker' | 'organisation' | 'guarantee'
 
 const upsertSchema = z.discriminatedUnion('kind', [
@@ -74,7 +77,7 @@
   id: identifier
 })
 
-/** Schema of a configuration change as operators send it. */
+/** Schema of a configuration change. */
 export const configurationChangeSchema = z.strictObject({
   version: z.int().min(1),
   baseVersion: z.int().min(0),
@@ -82,7 +85,7 @@
   removes: z.array(removeSchema)
 })
 
-/** Schema of the document that operators edit. */
+/** Schema of the configuration document that operators edit. */
 export const configurationDocumentSchema = z.strictObject({
   racks: z.array(rackSchema),
   workers: z.array(workerSchema),
@@ -91,11 +94,11 @@
   rules: rulesSchema
 })
 
-/** A change from `baseVersion` to `version`, which is one more. */
+/** A change from `baseVersion` to `version`, which must be `baseVersion` plus 1. */
 export type ConfigurationChange = z.infer<typeof configurationChangeSchema>
-/** The whole inventory and rules as one document. */
+/** The complete inventory and rules as one document. */
 export type ConfigurationDocument = z.infer<typeof configurationDocumentSchema>
-/** One record to add or replace. */
+/** A record to add or replace. */
 export type Upsert = z.infer<typeof upsertSchema>
-/** One record to remove. */
+/** A record to remove. */
 export type Remove = z.infer<typeof removeSchema>
--- a/packages/core/src/configuration.ts
+++ b/packages/core/src/configuration.ts
@@ -1,12 +1,12 @@
 /**
- * Inventory and rules: keyed records, versions, and changes small enough to send 47,000 times a day.
+ * Versioned inventory and rules, with changes that are small enough to be sent 47,000 times a day.
  */
 import type {
   ConfigurationChange, ConfigurationDocument, Guarantee, Organisation, Rack, RecordKind, Remove, Rules, Upsert, Worker
 } from './configuration-schema.js'
 import { type Failure, type Result, fail, failure, succeed } from './errors.js'
 
-/** Inventory and rules in force. */
+/** One version of the inventory and rules. */
 export interface Configuration {
   readonly version: number
   readonly racks: ReadonlyMap<string, Rack>
@@ -16,7 +16,7 @@
   readonly rules: Rules
 }
 
-/** Rules in force before the first change. */
+/** Rules of the empty configuration. */
 export const defaultRules: Rules = {
   maxGangTasks: 64,
   reclaimWithinMs: 3_000,
@@ -26,7 +26,7 @@
 }
 
 /**
- * The configuration of a system that no operator has configured yet: version 0 and no records.
+ * Returns the initial configuration: version 0, no records and the default rules.
  *
  * @example
  * emptyConfiguration().version // 0
@@ -43,33 +43,33 @@
 }
 
 /**
- * Applies a change and checks every reference between records.
+ * Applies a change and validates the references between records.
  *
- * @returns the new configuration; the given one is left as it is
+ * @returns the new configuration; `current` is not modified
  * @example
  * const result = applyChange(emptyConfiguration(), { version: 1, baseVersion: 0, upserts: [], removes: [] })
  */
 export function applyChange (current: Configuration, change: ConfigurationChange): Result<Configuration> {
   if (change.version !== change.baseVersion + 1) {
-    return fail('invalid_configuration', `version ${change.version} must be baseVersion ${change.baseVersion} plus 1`)
+    return fail('invalid_configuration', `version is ${change.version}, but must be baseVersion ${change.baseVersion} plus 1`)
   }
   if (change.baseVersion !== current.version) {
-    return fail('version_gap', `the change is based on version ${change.baseVersion}, version ${current.version} is in force`)
+    return fail('version_gap', `the change is based on version ${change.baseVersion}, but the current version is ${current.version}`)
   }
   const next = new ConfigurationDraft(current, change.version)
   for (const removal of change.removes) {
-    if (!next.remove(removal)) return fail('invalid_configuration', `${removal.kind} ${removal.id} is not in the inventory`)
+    if (!next.remove(removal)) return fail('invalid_configuration', `cannot remove ${removal.kind} ${removal.id}: it does not exist`)
   }
   for (const upsert of change.upserts) next.upsert(upsert)
-  const problem = findBrokenReference(next)
-  return problem === undefined ? succeed(next.finish()) : { ok: false, failure: problem }
+  const problem = findInvalidReference(next)
+  return problem === undefined ? succeed(next.build()) : { ok: false, failure: problem }
 }
 
-/** Copies only the maps that a change touches: at 21,000 workers a copy of all would cost more than the change. */
+/** Copies only the maps that a change modifies; with 21,000 workers, copying all of them costs more than the change. */
 class ConfigurationDraft {
   readonly #base: Configuration
   readonly #version: number
-  readonly #copies = new Map<RecordKind, Map<string, never>>()
+  readonly #changedMaps = new Map<RecordKind, Map<string, never>>()
   #rules: Rules
 
   constructor (base: Configuration, version: number) {
@@ -79,30 +79,30 @@
   }
 
   remove ({ kind, id }: Remove): boolean {
-    return this.#writable(kind).delete(id)
+    return this.#writableMap(kind).delete(id)
   }
 
   upsert (upsert: Upsert): void {
     switch (upsert.kind) {
-      case 'rack': this.#writable('rack').set(upsert.record.rackId, upsert.record); break
-      case 'worker': this.#writable('worker').set(upsert.record.workerId, upsert.record); break
-      case 'organisation': this.#writable('organisation').set(upsert.record.organisationId, upsert.record); break
-      case 'guarantee': this.#writable('guarantee').set(upsert.record.guaranteeId, upsert.record); break
+      case 'rack': this.#writableMap('rack').set(upsert.record.rackId, upsert.record); break
+      case 'worker': this.#writableMap('worker').set(upsert.record.workerId, upsert.record); break
+      case 'organisation': this.#writableMap('organisation').set(upsert.record.organisationId, upsert.record); break
+      case 'guarantee': this.#writableMap('guarantee').set(upsert.record.guaranteeId, upsert.record); break
       case 'rules': this.#rules = upsert.record; break
     }
   }
 
-  changed (kind: RecordKind): boolean {
-    return this.#copies.has(kind)
+  hasChanged (kind: RecordKind): boolean {
+    return this.#changedMaps.has(kind)
   }
 
-  finish (): Configuration {
+  build (): Configuration {
     return {
       version: this.#version,
-      racks: this.#current('rack'),
-      workers: this.#current('worker'),
-      organisations: this.#current('organisation'),
-      guarantees: this.#current('guarantee'),
+      racks: this.#latestMap('rack'),
+      workers: this.#latestMap('worker'),
+      organisations: this.#latestMap('organisation'),
+      guarantees: this.#latestMap('guarantee'),
       rules: this.#rules
     }
   }
@@ -116,51 +116,51 @@
     }
   }
 
-  #current<T> (kind: RecordKind): ReadonlyMap<string, T> {
-    return (this.#copies.get(kind) ?? this.#baseMap(kind)) as ReadonlyMap<string, T>
+  #latestMap<T> (kind: RecordKind): ReadonlyMap<string, T> {
+    return (this.#changedMaps.get(kind) ?? this.#baseMap(kind)) as ReadonlyMap<string, T>
   }
 
-  #writable (kind: RecordKind): Map<string, unknown> {
-    let copy = this.#copies.get(kind)
+  #writableMap (kind: RecordKind): Map<string, unknown> {
+    let copy = this.#changedMaps.get(kind)
     if (copy === undefined) {
       copy = new Map(this.#baseMap(kind)) as Map<string, never>
-      this.#copies.set(kind, copy)
+      this.#changedMaps.set(kind, copy)
     }
     return copy as Map<string, unknown>
   }
 }
 
-function findBrokenReference (draft: ConfigurationDraft): Failure | undefined {
-  const next = draft.finish()
-  if (draft.changed('rack') || draft.changed('worker')) {
-    const problem = findBrokenWorker(next)
+function findInvalidReference (draft: ConfigurationDraft): Failure | undefined {
+  const next = draft.build()
+  if (draft.hasChanged('rack') || draft.hasChanged('worker')) {
+    const problem = findInvalidWorker(next)
     if (problem !== undefined) return problem
   }
-  if (draft.changed('organisation') || draft.changed('guarantee')) {
+  if (draft.hasChanged('organisation') || draft.hasChanged('guarantee')) {
     for (const guarantee of next.guarantees.values()) {
       if (!next.organisations.has(guarantee.organisationId)) {
         return failure('invalid_configuration',
-          `guarantee ${guarantee.guaranteeId} names organisation ${guarantee.organisationId}, which does not exist`)
+          `guarantee ${guarantee.guaranteeId} refers to organisation ${guarantee.organisationId}, which does not exist`)
       }
     }
   }
   if (next.rules.defaultDeadlineMs > next.rules.maxDeadlineMs) {
-    return failure('invalid_configuration', 'rules.defaultDeadlineMs is above rules.maxDeadlineMs')
+    return failure('invalid_configuration', 'rules.defaultDeadlineMs is greater than rules.maxDeadlineMs')
   }
   return undefined
 }
 
-function findBrokenWorker (next: Configuration): Failure | undefined {
+function findInvalidWorker (next: Configuration): Failure | undefined {
   const positions = new Map<string, string>()
   for (const worker of next.workers.values()) {
     if (!next.racks.has(worker.rackId)) {
-      return failure('invalid_configuration', `worker ${worker.workerId} names rack ${worker.rackId}, which does not exist`)
+      return failure('invalid_configuration', `worker ${worker.workerId} refers to rack ${worker.rackId}, which does not exist`)
     }
     const position = `${worker.rackId}/${worker.rackPosition}`
     const other = positions.get(position)
     if (other !== undefined) {
       return failure('invalid_configuration',
-        `workers ${other} and ${worker.workerId} share position ${worker.rackPosition} of rack ${worker.rackId}`)
+        `workers ${other} and ${worker.workerId} both have position ${worker.rackPosition} in rack ${worker.rackId}`)
     }
     positions.set(position, worker.workerId)
   }
@@ -168,23 +168,23 @@
 }
 
 /**
- * Gives a configuration as the document that operators edit, sorted by identifier.
+ * Converts a configuration to the document that operators edit, with records sorted by identifier.
  *
  * @example
  * toDocument(emptyConfiguration()).workers // []
  */
 export function toDocument (configuration: Configuration): ConfigurationDocument {
   return {
-    racks: sorted(configuration.racks),
-    workers: sorted(configuration.workers),
-    organisations: sorted(configuration.organisations),
-    guarantees: sorted(configuration.guarantees),
+    racks: sortedById(configuration.racks),
+    workers: sortedById(configuration.workers),
+    organisations: sortedById(configuration.organisations),
+    guarantees: sortedById(configuration.guarantees),
     rules: configuration.rules
   }
 }
 
 /**
- * Builds a configuration from a document without checking references; used for copies that were checked before.
+ * Builds a configuration from a document without validating references, for documents that were validated before.
  *
  * @example
  * fromDocument(toDocument(configuration), configuration.version)
@@ -201,49 +201,49 @@
 }
 
 /**
- * Computes the change that turns the configuration in force into the given document.
+ * Computes the change that turns the current configuration into the given document.
  *
  * @example
  * const change = diffDocument(current, editedDocument)
  * change.upserts.length + change.removes.length // number of changed records
  */
 export function diffDocument (current: Configuration, document: ConfigurationDocument): ConfigurationChange {
-  const wanted = fromDocument(document, current.version + 1)
+  const target = fromDocument(document, current.version + 1)
   const upserts: Upsert[] = []
   const removes: Remove[] = []
-  collect('rack', current.racks, wanted.racks, record => ({ kind: 'rack', record }), upserts, removes)
-  collect('worker', current.workers, wanted.workers, record => ({ kind: 'worker', record }), upserts, removes)
-  collect('organisation', current.organisations, wanted.organisations,
+  diffRecords('rack', current.racks, target.racks, record => ({ kind: 'rack', record }), upserts, removes)
+  diffRecords('worker', current.workers, target.workers, record => ({ kind: 'worker', record }), upserts, removes)
+  diffRecords('organisation', current.organisations, target.organisations,
     record => ({ kind: 'organisation', record }), upserts, removes)
-  collect('guarantee', current.guarantees, wanted.guarantees,
+  diffRecords('guarantee', current.guarantees, target.guarantees,
     record => ({ kind: 'guarantee', record }), upserts, removes)
-  if (!sameRecord(current.rules, wanted.rules)) upserts.push({ kind: 'rules', record: wanted.rules })
+  if (!isSameRecord(current.rules, target.rules)) upserts.push({ kind: 'rules', record: target.rules })
   return { version: current.version + 1, baseVersion: current.version, upserts, removes }
 }
 
-function collect<T extends object> (
+function diffRecords<T extends object> (
   kind: RecordKind,
   current: ReadonlyMap<string, T>,
-  wanted: ReadonlyMap<string, T>,
+  target: ReadonlyMap<string, T>,
   toUpsert: (record: T) => Upsert,
   upserts: Upsert[],
   removes: Remove[]
 ): void {
-  for (const [id, record] of wanted) {
+  for (const [id, record] of target) {
     const existing = current.get(id)
-    if (existing === undefined || !sameRecord(existing, record)) upserts.push(toUpsert(record))
+    if (existing === undefined || !isSameRecord(existing, record)) upserts.push(toUpsert(record))
   }
   for (const id of current.keys()) {
-    if (!wanted.has(id)) removes.push({ kind, id })
+    if (!target.has(id)) removes.push({ kind, id })
   }
 }
 
-function sameRecord (left: object, right: object): boolean {
+function isSameRecord (left: object, right: object): boolean {
   const keys = Object.keys(left)
   if (keys.length !== Object.keys(right).length) return false
   return keys.every(key => Reflect.get(left, key) === Reflect.get(right, key))
 }
 
-function sorted<T> (records: ReadonlyMap<string, T>): T[] {
+function sortedById<T> (records: ReadonlyMap<string, T>): T[] {
   return [...records.entries()].sort(([left], [right]) => left < right ? -1 : 1).map(([, record]) => record)
 }
--- a/packages/core/src/errors.ts
+++ b/packages/core/src/errors.ts
@@ -1,6 +1,6 @@
-/** The closed list of error kinds and the one table from kind to answer. */
+/** Error kinds and the table that maps each of them to a response. */
 
-/** Every kind of error that a caller, operator, worker or backend server can be answered with. */
+/** Every kind of error that a response to a caller, operator, worker or backend server can have. */
 export type ErrorKind =
   | 'invalid_request'
   | 'unknown_field'
@@ -44,76 +44,76 @@
   | 'stale_term'
   | 'internal_error'
 
-/** Whether the work behind a refused or failed request ran. */
+/** Whether the work of a rejected or failed request was executed. */
 export type Outcome = 'not_run' | 'unknown' | 'completed' | 'not_applicable'
 
-/** What a caller should do with the same request. */
-export type RepeatAdvice = 'now' | 'later' | 'never' | 'ask_outcome'
+/** Whether a caller should retry the same request; `ask_outcome`: only after asking whether it was executed. */
+export type RetryAdvice = 'now' | 'later' | 'never' | 'ask_outcome'
 
-/** The answer that belongs to an error kind. */
-export interface ErrorAnswer {
+/** Response for an error kind. */
+export interface ErrorResponse {
   readonly httpStatus: number
   readonly outcome: Outcome
-  readonly repeat: RepeatAdvice
-  /** Default delay before a repeat, in milliseconds; 0 where no repeat is advised. */
+  readonly repeat: RetryAdvice
+  /** Default delay before a retry, in milliseconds; 0 if no delay applies. */
   readonly retryAfterMs: number
 }
 
-function answer (httpStatus: number, outcome: Outcome, repeat: RepeatAdvice, retryAfterMs = 0): ErrorAnswer {
+function response (httpStatus: number, outcome: Outcome, repeat: RetryAdvice, retryAfterMs = 0): ErrorResponse {
   return { httpStatus, outcome, repeat, retryAfterMs }
 }
 
-/** Maps each error kind to its answer. `not_run` stands only where the work certainly did not run. */
-export const errorTable: Readonly<Record<ErrorKind, ErrorAnswer>> = {
-  invalid_request: answer(400, 'not_run', 'never'),
-  unknown_field: answer(400, 'not_run', 'never'),
-  body_too_large: answer(413, 'not_run', 'never'),
-  headers_too_large: answer(431, 'not_run', 'never'),
-  request_timeout: answer(408, 'not_run', 'now'),
-  unknown_organisation: answer(403, 'not_run', 'never'),
-  unknown_service: answer(404, 'not_run', 'later', 2_000),
-  not_found: answer(404, 'not_applicable', 'never'),
-  method_not_allowed: answer(405, 'not_run', 'never'),
-  impossible_shape: answer(422, 'not_run', 'never'),
-  quota_exceeded: answer(429, 'not_run', 'later', 60_000),
-  queue_full: answer(429, 'not_run', 'later', 1_000),
-  deadline_unreachable: answer(503, 'not_run', 'later', 1_000),
-  deadline_exceeded: answer(504, 'not_run', 'later', 1_000),
-  no_backend_server: answer(503, 'not_run', 'later', 1_000),
-  backend_failed: answer(502, 'unknown', 'ask_outcome'),
-  backend_unreachable: answer(503, 'not_run', 'later', 1_000),
-  retry_budget_exhausted: answer(503, 'not_run', 'later', 5_000),
-  outcome_unknown: answer(504, 'unknown', 'ask_outcome'),
-  claim_in_progress: answer(409, 'unknown', 'ask_outcome', 500),
-  claim_completed: answer(409, 'completed', 'never'),
-  key_reused: answer(422, 'not_run', 'never'),
-  key_expired: answer(422, 'unknown', 'never'),
-  key_invalid: answer(400, 'not_run', 'never'),
-  job_exists: answer(409, 'not_run', 'never'),
-  unknown_queue: answer(404, 'not_run', 'never'),
-  unknown_key: answer(401, 'not_run', 'never'),
-  unknown_job: answer(410, 'not_applicable', 'never'),
-  unknown_wave: answer(404, 'not_applicable', 'never'),
-  no_configuration: answer(503, 'not_run', 'later', 1_000),
-  version_conflict: answer(409, 'not_run', 'never'),
-  version_gap: answer(409, 'not_run', 'never'),
-  guarantee_unsatisfiable: answer(422, 'not_run', 'never'),
-  invalid_configuration: answer(422, 'not_run', 'never'),
-  configuration_stale: answer(503, 'not_run', 'later', 1_000),
-  control_unavailable: answer(503, 'not_run', 'later', 2_000),
-  not_leader: answer(503, 'not_run', 'now'),
-  shutting_down: answer(503, 'not_run', 'now'),
-  cancelled: answer(409, 'not_run', 'never'),
-  stale_term: answer(409, 'not_run', 'never'),
-  internal_error: answer(500, 'unknown', 'ask_outcome')
+/** Maps each error kind to its response. `not_run` is used only if the work was certainly not executed. */
+export const errorTable: Readonly<Record<ErrorKind, ErrorResponse>> = {
+  invalid_request: response(400, 'not_run', 'never'),
+  unknown_field: response(400, 'not_run', 'never'),
+  body_too_large: response(413, 'not_run', 'never'),
+  headers_too_large: response(431, 'not_run', 'never'),
+  request_timeout: response(408, 'not_run', 'now'),
+  unknown_organisation: response(403, 'not_run', 'never'),
+  unknown_service: response(404, 'not_run', 'later', 2_000),
+  not_found: response(404, 'not_applicable', 'never'),
+  method_not_allowed: response(405, 'not_run', 'never'),
+  impossible_shape: response(422, 'not_run', 'never'),
+  quota_exceeded: response(429, 'not_run', 'later', 60_000),
+  queue_full: response(429, 'not_run', 'later', 1_000),
+  deadline_unreachable: response(503, 'not_run', 'later', 1_000),
+  deadline_exceeded: response(504, 'not_run', 'later', 1_000),
+  no_backend_server: response(503, 'not_run', 'later', 1_000),
+  backend_failed: response(502, 'unknown', 'ask_outcome'),
+  backend_unreachable: response(503, 'not_run', 'later', 1_000),
+  retry_budget_exhausted: response(503, 'not_run', 'later', 5_000),
+  outcome_unknown: response(504, 'unknown', 'ask_outcome'),
+  claim_in_progress: response(409, 'unknown', 'ask_outcome', 500),
+  claim_completed: response(409, 'completed', 'never'),
+  key_reused: response(422, 'not_run', 'never'),
+  key_expired: response(422, 'unknown', 'never'),
+  key_invalid: response(400, 'not_run', 'never'),
+  job_exists: response(409, 'not_run', 'never'),
+  unknown_queue: response(404, 'not_run', 'never'),
+  unknown_key: response(401, 'not_run', 'never'),
+  unknown_job: response(410, 'not_applicable', 'never'),
+  unknown_wave: response(404, 'not_applicable', 'never'),
+  no_configuration: response(503, 'not_run', 'later', 1_000),
+  version_conflict: response(409, 'not_run', 'never'),
+  version_gap: response(409, 'not_run', 'never'),
+  guarantee_unsatisfiable: response(422, 'not_run', 'never'),
+  invalid_configuration: response(422, 'not_run', 'never'),
+  configuration_stale: response(503, 'not_run', 'later', 1_000),
+  control_unavailable: response(503, 'not_run', 'later', 2_000),
+  not_leader: response(503, 'not_run', 'now'),
+  shutting_down: response(503, 'not_run', 'now'),
+  cancelled: response(409, 'not_run', 'never'),
+  stale_term: response(409, 'not_run', 'never'),
+  internal_error: response(500, 'unknown', 'ask_outcome')
 }
 
-/** An error as data: what happened, for whom it matters, and when to try again. */
+/** An error as a value: kind, detail and retry delay. */
 export interface Failure {
   readonly kind: ErrorKind
-  /** One sentence with the values that were found and what is allowed. */
+  /** One sentence with the actual and the allowed values. */
   readonly detail: string
-  /** Delay before a repeat in milliseconds; the table's default where absent. */
+  /** Delay before a retry in milliseconds; defaults to the value in `errorTable`. */
   readonly retryAfterMs?: number
 }
 
@@ -136,7 +136,7 @@
  * Builds a failed result.
  *
  * @example
- * fail('queue_full', '512 requests wait, 512 are allowed', 800)
+ * fail('queue_full', '512 requests are queued, the limit is 512', 800)
  */
 export function fail (kind: ErrorKind, detail: string, retryAfterMs?: number): { ok: false, failure: Failure } {
   return { ok: false, failure: failure(kind, detail, retryAfterMs) }
@@ -152,17 +152,17 @@
   return retryAfterMs === undefined ? { kind, detail } : { kind, detail, retryAfterMs }
 }
 
-/** JSON body of every refused or failed request. */
+/** JSON body of the response to a rejected or failed request. */
 export interface ErrorBody {
   readonly error: ErrorKind
   readonly detail: string
   readonly outcome: Outcome
-  readonly repeat: RepeatAdvice
+  readonly repeat: RetryAdvice
   readonly retryAfterMs: number
 }
 
 /**
- * Gives the body that a front end sends for a failure.
+ * Builds the response body for a failure.
  *
  * @example
  * errorBody(failure('shutting_down', 'the node is stopping')).outcome // 'not_run'
--- a/packages/core/src/jobs.ts
+++ b/packages/core/src/jobs.ts
@@ -1,28 +1,28 @@
-/** Gang jobs: what callers submit and what the control state keeps. */
+/** Types of gang jobs, their placement and their explanation. */
 
-/** How urgent a job is. Urgent jobs may take lent capacity of lower priorities. */
+/** Priority of a job. Urgent jobs may preempt jobs of lower priority that run on lent capacity. */
 export type JobPriority = 'urgent' | 'normal' | 'low'
 
-/** How close the tasks of a gang must be placed. */
+/** Placement constraint for the tasks of a gang: all on one worker, all in one rack, or none. */
 export type Adjacency = 'worker' | 'rack' | 'none'
 
-/** What may be done with a job when its capacity is taken back or a worker fails. */
+/** How a job may be preempted, and resumed after a worker failure: from a checkpoint, by running it again, or not. */
 export type Preemption = 'checkpoint' | 'repeat' | 'none'
 
-/** Life cycle of a job. */
+/** Phase in the life cycle of a job. */
 export type JobPhase = 'waiting' | 'preparing' | 'starting' | 'running' | 'stopping' | 'ended'
 
-/** How a job ended. */
+/** Final result of a job. */
 export type JobOutcome = 'completed' | 'failed' | 'cancelled' | 'refused'
 
-/** Whether a placement uses the organisation's own guarantee or lent capacity. */
+/** Whether a placement uses capacity guaranteed to the organisation or capacity lent to it. */
 export type CapacityClass = 'guaranteed' | 'lent'
 
 /** A gang job as submitted. */
 export interface JobSpec {
   readonly jobId: string
   readonly organisationId: string
-  /** Label for run-time estimates, for example `nightly-reconciliation`. */
+  /** Class of jobs with similar run times, for run-time estimates; for example `nightly-reconciliation`. */
   readonly jobClass: string
   readonly tasks: number
   readonly acceleratorModel: string
@@ -35,32 +35,32 @@
   readonly preemption: Preemption
 }
 
-/** Where one task of a gang runs. */
+/** Worker and accelerators of one task of a gang. */
 export interface TaskPlacement {
   readonly taskIndex: number
   readonly workerId: string
-  /** Index of the first accelerator on the worker; the task holds `acceleratorCount` adjacent ones. */
+  /** Index of the first accelerator on the worker; the task uses `acceleratorCount` adjacent ones. */
   readonly firstAccelerator: number
   readonly acceleratorCount: number
 }
 
-/** Where a whole gang runs. */
+/** Placement of all tasks of a gang. */
 export interface Placement {
   readonly capacityClass: CapacityClass
   readonly tasks: readonly TaskPlacement[]
-  /** One sentence for `explain`: why these workers. */
+  /** One sentence for the job explanation: why these workers were chosen. */
   readonly reason: string
 }
 
-/** Why a job waits, or how it was placed or refused. */
+/** Why a job is waiting, or how it was placed or rejected. */
 export interface JobExplanation {
   readonly jobId: string
   readonly state: 'waiting' | 'placed' | 'reclaiming' | 'refused' | 'unknown'
   readonly reason: string
-  /** Position in the order in which waiting jobs are considered, from 1; 0 when not waiting. */
+  /** Position in the scheduling order of waiting jobs, from 1; 0 if the job is not waiting. */
   readonly queuePosition: number
-  /** Jobs whose end or removal this job waits for. */
+  /** Jobs that must end or be preempted before this job can start. */
   readonly blockedByJobIds: readonly string[]
-  /** Estimated start in milliseconds from now; undefined where none can be given. */
+  /** Estimated time until the start in milliseconds; `undefined` if there is no estimate. */
   readonly estimatedStartInMs?: number
 }
--- a/packages/core/src/members.ts
+++ b/packages/core/src/members.ts
@@ -1,14 +1,14 @@
-/** Backend servers and workers as they announce themselves. */
+/** Heartbeat records of backend servers and workers. */
 
 /** State of a backend server in the registry of an entry VM. */
 export type BackendServerState = 'active' | 'leaving' | 'expired'
 
-/** A backend server's announcement. Records are ordered by `incarnation`, then `sequence`. */
+/** A heartbeat of a backend server. Records are ordered by `incarnation`, then by `sequence`. */
 export interface BackendServerRecord {
   readonly backendServerId: string
-  /** Rises at each start of the server, for example its start time in milliseconds. */
+  /** Increases with each start of the server, for example its start time in milliseconds. */
   readonly incarnation: number
-  /** Rises with each heartbeat of one incarnation. */
+  /** Increases with each heartbeat within one incarnation. */
   readonly sequence: number
   /** Base URL that requests are sent to. */
   readonly address: string
@@ -23,10 +23,10 @@
 /** State of a worker in the control state. */
 export type WorkerState = 'active' | 'draining' | 'lost' | 'quarantined'
 
-/** State of one task as a worker reports it. */
+/** State of a task as reported by its worker. */
 export type TaskState = 'prepared' | 'running' | 'completed' | 'failed' | 'stopped'
 
-/** One task in a worker's heartbeat. */
+/** State of one task in a worker's heartbeat. */
 export interface TaskReport {
   readonly jobId: string
   readonly taskIndex: number
@@ -34,7 +34,7 @@
   readonly state: TaskState
 }
 
-/** A worker's heartbeat. */
+/** A heartbeat of a worker. */
 export interface WorkerReport {
   readonly workerId: string
   readonly incarnation: number
--- a/packages/core/src/ports.ts
+++ b/packages/core/src/ports.ts
@@ -1,9 +1,9 @@
-/** Ports that every decision package may use; `node` has the adapters. */
+/** Ports for metrics and logging, shared by the packages that contain no I/O. */
 
-/** Labels of a metric, such as the kind of a refusal. */
+/** Labels of a metric, for example the error kind of rejected requests. */
 export type MetricTags = Readonly<Record<string, string>>
 
-/** Sink for counters, gauges and timings. */
+/** Port for counters, gauges and timings. */
 export abstract class Metrics {
   /** Adds `count` to a counter. */
   abstract increment (name: string, tags?: MetricTags, count?: number): void
@@ -13,14 +13,14 @@
   abstract timing (name: string, durationMs: number, tags?: MetricTags): void
 }
 
-/** Metrics that are dropped, for tests and benchmarks. */
+/** Discards all metrics, for tests and benchmarks. */
 export class NullMetrics extends Metrics {
   override increment (): void {}
   override gauge (): void {}
   override timing (): void {}
 }
 
-/** Counters kept in memory, for tests and for the status endpoint. */
+/** Keeps counters and gauges in memory, for tests and for the status endpoint; ignores timings. */
 export class CountingMetrics extends Metrics {
   readonly #counts = new Map<string, number>()
 
@@ -35,7 +35,7 @@
 
   override timing (): void {}
 
-  /** Current values by name and tags, for example `refusal{kind=queue_full}`. */
+  /** Returns the current values by name and tags, with keys such as `refusal{kind=queue_full}`. */
   snapshot (): Record<string, number> {
     return Object.fromEntries(this.#counts)
   }
@@ -46,15 +46,15 @@
   return labels.length === 0 ? name : `${name}{${labels.join(',')}}`
 }
 
-/** Sink for log lines; only changes of state are logged. */
+/** Port for log lines. Only changes of state are logged. */
 export abstract class EventLog {
-  /** An expected change of state. */
+  /** Logs an expected change of state. */
   abstract info (message: string, fields?: Readonly<Record<string, unknown>>): void
-  /** A change of state that an operator may have to act on. */
+  /** Logs a change of state that may need action by an operator. */
   abstract warn (message: string, fields?: Readonly<Record<string, unknown>>): void
 }
 
-/** Log lines that are dropped, for tests and benchmarks. */
+/** Discards all log lines, for tests and benchmarks. */
 export class NullEventLog extends EventLog {
   override info (): void {}
   override warn (): void {}
--- a/packages/core/src/random.ts
+++ b/packages/core/src/random.ts
@@ -3,7 +3,7 @@
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64'
 
 /**
- * Seeded random numbers (xoroshiro128+ of `pure-rand`): the same seed gives the same sequence.
+ * Seeded pseudo-random number generator (xoroshiro128+ of `pure-rand`): the same seed gives the same sequence.
  *
  * @example
  * const random = new Random(42)
@@ -16,12 +16,12 @@
     this.#generator = xoroshiro128plus(seed)
   }
 
-  /** A whole number between `low` and `high`, both included. */
+  /** Returns an integer between `low` and `high`, inclusive. */
   nextInt (low: number, high: number): number {
     return uniformInt(this.#generator, low, high)
   }
 
-  /** A number in [0, 1). */
+  /** Returns a number in [0, 1). */
   nextFloat (): number {
     return uniformFloat64(this.#generator)
   }
--- a/packages/core/src/requests.ts
+++ b/packages/core/src/requests.ts
@@ -1,21 +1,21 @@
-/** Short requests as the routing code sees them; bodies stay in the front end. */
+/** Metadata of short requests, which routing decisions are based on; the bodies stay in the front end. */
 
-/** Whether a request may be executed more than once. */
+/** Whether a request may safely be executed more than once. */
 export type Repeatability = 'idempotent' | 'non-repeatable'
 
-/** A short request without its body. */
+/** Metadata of a short request. */
 export interface RequestSpec {
   readonly requestId: string
   readonly organisationId: string
   readonly service: string
-  /** Label for observed service times; the service and path where a caller gives none. */
+  /** Class of requests with similar service times; defaults to service and path. */
   readonly requestClass: string
   readonly repeatability: Repeatability
-  /** Protects against the caller's own repeats; a UUID of version 7. */
+  /** Deduplicates retries by the caller; a version 7 UUID. */
   readonly idempotencyKey?: string
-  /** Type of the body, passed on unchanged; no decision depends on it. */
+  /** Media type of the body; forwarded unchanged, not used for routing. */
   readonly contentType?: string
-  /** Monotonic time after which an answer is of no use to the caller. */
+  /** Monotonic time after which the caller no longer waits for a response. */
   readonly deadlineAtMs: number
 }
 
--- a/packages/core/test/configuration.test.ts
+++ b/packages/core/test/configuration.test.ts
@@ -11,30 +11,30 @@
   rules: toDocument(emptyConfiguration()).rules
 }
 
-function configured () {
+function createConfiguration () {
   const result = applyChange(emptyConfiguration(), diffDocument(emptyConfiguration(), document))
   if (!result.ok) throw new Error(result.failure.detail)
   return result.value
 }
 
-test('a document that is already in force gives an empty change, so a repeat changes nothing', t => {
-  const change = diffDocument(configured(), document)
+test('diffing the current document gives an empty change, so that applying it twice changes nothing', t => {
+  const change = diffDocument(createConfiguration(), document)
   t.deepEqual(change, { version: 2, baseVersion: 1, upserts: [], removes: [] })
 })
 
-test('a change based on an older version is refused, so that racing operators do not overwrite each other', t => {
-  const result = applyChange(configured(), { version: 1, baseVersion: 0, upserts: [], removes: [] })
+test('a change based on an older version is rejected, so that concurrent operators do not overwrite each other', t => {
+  const result = applyChange(createConfiguration(), { version: 1, baseVersion: 0, upserts: [], removes: [] })
   t.is(result.ok ? undefined : result.failure.kind, 'version_gap')
 })
 
-test('removing a rack that still has workers is refused, so that no worker loses its place', t => {
+test('removing a rack that still has workers is rejected, so that no worker refers to a missing rack', t => {
   const change = { version: 2, baseVersion: 1, upserts: [], removes: [{ kind: 'rack' as const, id: 'r1' }] }
-  const result = applyChange(configured(), change)
+  const result = applyChange(createConfiguration(), change)
   t.is(result.ok ? undefined : result.failure.kind, 'invalid_configuration')
 })
 
-test('applying a change leaves the previous configuration untouched, so readers never see half a change', t => {
-  const current = configured()
+test('applying a change does not modify the previous configuration, so that readers never see a partial change', t => {
+  const current = createConfiguration()
   const result = applyChange(current, diffDocument(current, { ...document, workers: [], guarantees: [] }))
   t.true(result.ok)
   t.is(current.workers.size, 1)
