--- a/packages/placement/src/cells.ts
+++ b/packages/placement/src/cells.ts
@@ -1,16 +1,16 @@
 /**
  * Buddy cells over the accelerators of workers and racks.
  *
- * A cell of level L is 2^L adjacent accelerators. Workers of one kind (model, accelerators, cores, memory) at
- * neighbouring positions of a rack form larger cells. The tree depends on the inventory only; what occupies the cells
- * is kept in `occupancy.ts`. Source: multi-level cells with buddy allocation of HiveD (OSDI 2020).
+ * A cell of level L is 2^L adjacent accelerators. Workers of one type (model, accelerators, cores, memory) at
+ * consecutive positions of a rack form larger cells. The tree depends on the inventory only; occupancy is tracked in
+ * `occupancy.ts`. The design follows the multi-level cells with buddy allocation of HiveD (OSDI 2020).
  */
 import type { Configuration, Worker } from '@comfreygrade/core'
 
-/** No cell: the parent of a root, or the child of a single accelerator. */
+/** Sentinel index: the parent of a root cell, or the child of a single-accelerator cell. */
 export const NO_CELL = -1
 
-/** Workers of one kind; cells are formed within a pool only. */
+/** All workers of one type. A cell never spans pools. */
 export interface CellPool {
   readonly index: number
   readonly modelIndex: number
@@ -21,7 +21,7 @@
   readonly rackIndexes: number[]
 }
 
-/** The part of a rack that belongs to one pool. */
+/** The workers of a rack that belong to one pool. */
 export interface CellRack {
   readonly index: number
   readonly rackId: string
@@ -31,7 +31,7 @@
   accelerators: number
 }
 
-/** A worker and the largest cells within it. */
+/** A worker; `topCells` are the largest cells that lie within it. */
 export interface CellWorker {
   readonly index: number
   readonly workerId: string
@@ -40,90 +40,91 @@
   readonly topCells: number[]
 }
 
-/** Smallest level whose cells hold `count` accelerators. */
-export function levelFor (count: number): number {
+/** Smallest level whose cells have at least `count` accelerators. */
+export function smallestLevelHolding (count: number): number {
   return count <= 1 ? 0 : 32 - Math.clz32(Math.ceil(count) - 1)
 }
 
 /** Largest level whose cells have at most `count` accelerators. */
-export function levelWithin (count: number): number {
+export function largestLevelWithin (count: number): number {
   return 31 - Math.clz32(count)
 }
 
 /**
- * Splits neighbouring positions into the largest power-of-two blocks that fit. A block starts at a multiple of its size
- * where one fits, so that adding a worker at an end moves no other block.
+ * Splits consecutive positions into power-of-two blocks, as large as possible. A block starts at a multiple of its size
+ * where possible, so that adding a worker at either end moves no other block.
  *
  * @example
- * splitRun(0, 7) // [{ start: 0, length: 4 }, { start: 4, length: 2 }, { start: 6, length: 1 }]
+ * splitIntoBlocks(0, 7) // [{ start: 0, length: 4 }, { start: 4, length: 2 }, { start: 6, length: 1 }]
  */
-export function splitRun (start: number, length: number): Array<{ start: number, length: number }> {
+export function splitIntoBlocks (start: number, length: number): Array<{ start: number, length: number }> {
   if (length === 0) return []
-  const size = 2 ** levelWithin(length)
+  const size = 2 ** largestLevelWithin(length)
   const aligned = Math.ceil(start / size) * size
   const blockStart = aligned + size <= start + length ? aligned : start
-  const before = splitRun(start, blockStart - start)
-  const after = splitRun(blockStart + size, start + length - blockStart - size)
+  const before = splitIntoBlocks(start, blockStart - start)
+  const after = splitIntoBlocks(blockStart + size, start + length - blockStart - size)
   return [...before, { start: blockStart, length: size }, ...after]
 }
 
-/** Immutable tree of all cells of an inventory. Cells are numbers; columns hold their properties. */
+/** Immutable tree of all cells of an inventory. A cell is an index into the typed arrays that hold its properties. */
 export class CellTree {
   readonly pools: CellPool[] = []
   readonly racks: CellRack[] = []
   readonly workers: CellWorker[] = []
   readonly acceleratorModels: string[] = []
-  /** Levels of the tree: the highest level plus one. */
+  /** Number of levels: the highest level plus one. */
   readonly levels: number
   readonly parent: Int32Array
+  /** First of the two children of a cell; the second has the next index. */
   readonly firstChild: Int32Array
   readonly level: Uint8Array
   readonly rack: Int32Array
-  /** Worker of a cell; `NO_CELL` for a cell that spans workers. */
+  /** Worker index of a cell; `NO_CELL` for a cell that spans several workers. */
   readonly worker: Int32Array
   readonly firstAccelerator: Uint8Array
   readonly #workerIndexes = new Map<string, number>()
   readonly #poolIndexes = new Map<string, number>()
-  readonly #draft: CellDraft = { parent: [], firstChild: [], level: [], rack: [], worker: [], firstAccelerator: [] }
+  readonly #columns: CellColumns = { parent: [], firstChild: [], level: [], rack: [], worker: [], firstAccelerator: [] }
 
   constructor (workers: Iterable<Worker>) {
-    for (const group of groupByRackAndKind(workers)) this.#addRack(group)
-    const draft = this.#draft
-    this.parent = Int32Array.from(draft.parent)
-    this.firstChild = Int32Array.from(draft.firstChild)
-    this.level = Uint8Array.from(draft.level)
-    this.rack = Int32Array.from(draft.rack)
-    this.worker = Int32Array.from(draft.worker)
-    this.firstAccelerator = Uint8Array.from(draft.firstAccelerator)
-    this.levels = draft.level.reduce((highest, level) => Math.max(highest, level), 0) + 1
-    this.#draft = { parent: [], firstChild: [], level: [], rack: [], worker: [], firstAccelerator: [] }
+    for (const group of groupByRackAndType(workers)) this.#addRack(group)
+    const columns = this.#columns
+    this.parent = Int32Array.from(columns.parent)
+    this.firstChild = Int32Array.from(columns.firstChild)
+    this.level = Uint8Array.from(columns.level)
+    this.rack = Int32Array.from(columns.rack)
+    this.worker = Int32Array.from(columns.worker)
+    this.firstAccelerator = Uint8Array.from(columns.firstAccelerator)
+    this.levels = columns.level.reduce((highest, level) => Math.max(highest, level), 0) + 1
+    this.#columns = { parent: [], firstChild: [], level: [], rack: [], worker: [], firstAccelerator: [] }
   }
 
-  /** Number of cells of all levels. */
+  /** Number of cells on all levels. */
   get size (): number {
     return this.parent.length
   }
 
-  /** Index of a worker; undefined where the inventory does not have it. */
+  /** Index of a worker; undefined if it is not in the inventory. */
   workerIndex (workerId: string): number | undefined {
     return this.#workerIndexes.get(workerId)
   }
 
-  /** Index of an accelerator model; -1 where the inventory does not have it. */
+  /** Index of an accelerator model; -1 if it is not in the inventory. */
   modelIndex (acceleratorModel: string): number {
     return this.acceleratorModels.indexOf(acceleratorModel)
   }
 
-  /** Pool that a cell belongs to. */
+  /** The pool that contains a cell. */
   poolOf (cell: number): CellPool {
     return this.pools[this.racks[this.rack[cell]!]!.poolIndex]!
   }
 
-  /** The cell of `count` accelerators from `first` on a worker; undefined where there is none. */
-  find (workerId: string, first: number, count: number): number | undefined {
+  /** The cell of `count` accelerators that starts at `first` on a worker; undefined if the tree has no such cell. */
+  cellAt (workerId: string, first: number, count: number): number | undefined {
     const worker = this.workers[this.#workerIndexes.get(workerId) ?? NO_CELL]
     if (worker === undefined) return undefined
-    const level = levelFor(count)
+    const level = smallestLevelHolding(count)
     for (const top of worker.topCells) {
       const offset = first - this.firstAccelerator[top]!
       if (offset >= 0 && offset < 2 ** this.level[top]!) return this.#descend(top, level, first)
@@ -131,7 +132,7 @@
     return undefined
   }
 
-  /** The cell of the given level that contains `cell`; undefined where the tree ends below that level. */
+  /** The cell of the given level that contains `cell`; undefined if its root is below that level. */
   ancestor (cell: number, level: number): number | undefined {
     let current = cell
     while (current !== NO_CELL && this.level[current]! < level) current = this.parent[current]!
@@ -148,7 +149,7 @@
   }
 
   #addRack (workers: Worker[]): void {
-    const pool = this.#poolFor(workers[0]!)
+    const pool = this.#findOrAddPool(workers[0]!)
     const index = this.racks.length
     const rack: CellRack = {
       index, rackId: workers[0]!.rackId, poolIndex: pool.index, rootCells: [], workerIndexes: [], accelerators: 0
@@ -160,26 +161,26 @@
 
   #addRun (rack: CellRack, run: Worker[]): void {
     const accelerators = run[0]!.accelerators
-    const workerLevel = levelWithin(accelerators)
+    const workerLevel = largestLevelWithin(accelerators)
     const indexes = run.map(worker => this.#addWorker(rack, worker))
     if (2 ** workerLevel !== accelerators) {
-      for (const index of indexes) this.#addUnevenWorker(rack, index, accelerators)
+      for (const index of indexes) this.#addNonPowerOfTwoWorker(rack, index, accelerators)
       return
     }
     const start = run[0]!.rackPosition
-    for (const block of splitRun(start, run.length)) {
+    for (const block of splitIntoBlocks(start, run.length)) {
       const members = indexes.slice(block.start - start, block.start - start + block.length)
-      const root = this.#addCell(NO_CELL, workerLevel + levelWithin(block.length), rack.index)
+      const root = this.#addCell(NO_CELL, workerLevel + largestLevelWithin(block.length), rack.index)
       rack.rootCells.push(root)
-      this.#fillRackCell(root, members, workerLevel)
+      this.#buildRackCells(root, members, workerLevel)
     }
   }
 
-  #addUnevenWorker (rack: CellRack, workerIndex: number, accelerators: number): void {
-    for (const block of splitRun(0, accelerators)) {
-      const root = this.#addCell(NO_CELL, levelWithin(block.length), rack.index)
+  #addNonPowerOfTwoWorker (rack: CellRack, workerIndex: number, accelerators: number): void {
+    for (const block of splitIntoBlocks(0, accelerators)) {
+      const root = this.#addCell(NO_CELL, largestLevelWithin(block.length), rack.index)
       rack.rootCells.push(root)
-      this.#fillWorkerCell(root, workerIndex, block.start, true)
+      this.#buildWorkerCells(root, workerIndex, block.start, true)
     }
   }
 
@@ -194,53 +195,53 @@
     return index
   }
 
-  #fillRackCell (cell: number, members: number[], workerLevel: number): void {
+  #buildRackCells (cell: number, members: number[], workerLevel: number): void {
     if (members.length === 1) {
-      this.#fillWorkerCell(cell, members[0]!, 0, true)
+      this.#buildWorkerCells(cell, members[0]!, 0, true)
       return
     }
-    const left = this.#split(cell)
-    this.#fillRackCell(left, members.slice(0, members.length / 2), workerLevel)
-    this.#fillRackCell(left + 1, members.slice(members.length / 2), workerLevel)
+    const left = this.#addChildren(cell)
+    this.#buildRackCells(left, members.slice(0, members.length / 2), workerLevel)
+    this.#buildRackCells(left + 1, members.slice(members.length / 2), workerLevel)
   }
 
-  #fillWorkerCell (cell: number, workerIndex: number, first: number, isTop: boolean): void {
-    const draft = this.#draft
-    draft.worker[cell] = workerIndex
-    draft.firstAccelerator[cell] = first
+  #buildWorkerCells (cell: number, workerIndex: number, first: number, isTop: boolean): void {
+    const columns = this.#columns
+    columns.worker[cell] = workerIndex
+    columns.firstAccelerator[cell] = first
     if (isTop) this.workers[workerIndex]!.topCells.push(cell)
-    if (draft.level[cell] === 0) return
-    const left = this.#split(cell)
-    this.#fillWorkerCell(left, workerIndex, first, false)
-    this.#fillWorkerCell(left + 1, workerIndex, first + 2 ** draft.level[left]!, false)
+    if (columns.level[cell] === 0) return
+    const left = this.#addChildren(cell)
+    this.#buildWorkerCells(left, workerIndex, first, false)
+    this.#buildWorkerCells(left + 1, workerIndex, first + 2 ** columns.level[left]!, false)
   }
 
-  #split (cell: number): number {
-    const draft = this.#draft
-    const left = this.#addCell(cell, draft.level[cell]! - 1, draft.rack[cell]!)
-    this.#addCell(cell, draft.level[cell]! - 1, draft.rack[cell]!)
-    draft.firstChild[cell] = left
+  #addChildren (cell: number): number {
+    const columns = this.#columns
+    const left = this.#addCell(cell, columns.level[cell]! - 1, columns.rack[cell]!)
+    this.#addCell(cell, columns.level[cell]! - 1, columns.rack[cell]!)
+    columns.firstChild[cell] = left
     return left
   }
 
   #addCell (parent: number, level: number, rack: number): number {
-    const draft = this.#draft
-    draft.parent.push(parent)
-    draft.firstChild.push(NO_CELL)
-    draft.level.push(level)
-    draft.rack.push(rack)
-    draft.worker.push(NO_CELL)
-    draft.firstAccelerator.push(0)
-    return draft.parent.length - 1
+    const columns = this.#columns
+    columns.parent.push(parent)
+    columns.firstChild.push(NO_CELL)
+    columns.level.push(level)
+    columns.rack.push(rack)
+    columns.worker.push(NO_CELL)
+    columns.firstAccelerator.push(0)
+    return columns.parent.length - 1
   }
 
-  #poolFor (worker: Worker): CellPool {
-    const key = kindKey(worker)
-    const known = this.#poolIndexes.get(key)
-    if (known !== undefined) return this.pools[known]!
+  #findOrAddPool (worker: Worker): CellPool {
+    const key = workerTypeKey(worker)
+    const existing = this.#poolIndexes.get(key)
+    if (existing !== undefined) return this.pools[existing]!
     const pool: CellPool = {
       index: this.pools.length,
-      modelIndex: this.#modelFor(worker.acceleratorModel),
+      modelIndex: this.#findOrAddModel(worker.acceleratorModel),
       acceleratorModel: worker.acceleratorModel,
       acceleratorsPerWorker: worker.accelerators,
       coresPerWorker: worker.cores,
@@ -252,13 +253,14 @@
     return pool
   }
 
-  #modelFor (acceleratorModel: string): number {
-    const known = this.acceleratorModels.indexOf(acceleratorModel)
-    return known >= 0 ? known : this.acceleratorModels.push(acceleratorModel) - 1
+  #findOrAddModel (acceleratorModel: string): number {
+    const existing = this.acceleratorModels.indexOf(acceleratorModel)
+    return existing >= 0 ? existing : this.acceleratorModels.push(acceleratorModel) - 1
   }
 }
 
-interface CellDraft {
+/** Properties of the cells while the tree is built, by cell index. */
+interface CellColumns {
   parent: number[]
   firstChild: number[]
   level: number[]
@@ -267,14 +269,14 @@
   firstAccelerator: number[]
 }
 
-function kindKey (worker: Worker): string {
+function workerTypeKey (worker: Worker): string {
   return `${worker.acceleratorModel}/${worker.accelerators}/${worker.cores}/${worker.memoryGb}`
 }
 
-function groupByRackAndKind (workers: Iterable<Worker>): Worker[][] {
+function groupByRackAndType (workers: Iterable<Worker>): Worker[][] {
   const groups = new Map<string, Worker[]>()
   for (const worker of workers) {
-    const key = `${worker.rackId}/${kindKey(worker)}`
+    const key = `${worker.rackId}/${workerTypeKey(worker)}`
     const group = groups.get(key)
     if (group === undefined) groups.set(key, [worker])
     else group.push(worker)
@@ -294,7 +296,7 @@
 }
 
 /**
- * Builds the tree of a configuration's inventory.
+ * Builds the cell tree of the inventory in a configuration.
  *
  * @example
  * buildCellTree(configuration).workers.length === configuration.workers.size
--- a/packages/placement/src/fleet.ts
+++ b/packages/placement/src/fleet.ts
@@ -1,57 +1,60 @@
-/** State of all cells: which jobs, claims, reservations and unavailable workers occupy them. */
+/** Occupancy of the cells by jobs, claims, reservations and unavailable workers. */
 import type { Configuration } from '@comfreygrade/core'
 import { type CellTree, NO_CELL, buildCellTree } from './cells.js'
-import { type Binding, GuaranteeLedger } from './guarantees.js'
-import { type GangPlan, type JobRecord, isReclaimable } from './jobs.js'
-import { CellMarks, FreeCells } from './occupancy.js'
+import { type Binding, GuaranteeAllocator } from './guarantees.js'
+import { type GangPlan, type JobRecord, isPreemptible } from './job-record.js'
+import { CellMarks, FreeCellIndex } from './occupancy.js'
 
-/** A cell that could be taken, with the cost of making the jobs in it leave. */
-export interface CellSlot {
+/** A cell that could be allocated, with the jobs to preempt for it and the total cost of preempting them. */
+export interface CandidateCell {
   readonly cell: number
   readonly cost: number
   readonly victims: ReadonlySet<JobRecord>
 }
 
-/** Which jobs a search may ask to leave. */
-export type VictimRule = (job: JobRecord) => boolean
+/** Whether a search may preempt a job. */
+export type VictimFilter = (job: JobRecord) => boolean
 
 const NO_VICTIMS: ReadonlySet<JobRecord> = new Set()
 
-/** Cells of one inventory with all that occupies them. */
+/**
+ * The cells of one inventory and what occupies them. A claim keeps cells for a job until the jobs preempted for it have
+ * vacated them.
+ */
 export class Fleet {
   readonly tree: CellTree
-  /** Cells with jobs, claims, reservations or failed workers. */
-  readonly used: FreeCells
-  /** Cells that are bound to guarantees, unavailable, or used by jobs that are never reclaimed. */
-  readonly held: FreeCells
-  /** Cells that no decision may reclaim: guaranteed jobs, claims, jobs without preemption, unavailable workers. */
-  readonly firm: CellMarks
+  /** Cells with jobs, claims or start-time reservations, and cells of unavailable workers. */
+  readonly used: FreeCellIndex
+  /** Cells that cannot be bound to a guarantee: bound already, unavailable, or lent to a non-preemptible job. */
+  readonly committed: FreeCellIndex
+  /** Cells that cannot be preempted: claimed, unavailable, or occupied by a guaranteed or non-preemptible job. */
+  readonly nonPreemptible: CellMarks
   readonly unavailable: CellMarks
-  readonly ledger: GuaranteeLedger
-  readonly #jobAt = new Map<number, JobRecord>()
-  readonly #claimAt = new Map<number, JobRecord>()
+  readonly guarantees: GuaranteeAllocator
+  readonly #jobByCell = new Map<number, JobRecord>()
+  readonly #claimantByCell = new Map<number, JobRecord>()
   readonly #unavailableWorkers = new Set<number>()
 
   constructor (configuration: Configuration) {
     this.tree = buildCellTree(configuration)
-    this.used = new FreeCells(this.tree)
-    this.held = new FreeCells(this.tree)
-    this.firm = new CellMarks(this.tree)
+    this.used = new FreeCellIndex(this.tree)
+    this.committed = new FreeCellIndex(this.tree)
+    this.nonPreemptible = new CellMarks(this.tree)
     this.unavailable = new CellMarks(this.tree)
-    this.ledger = new GuaranteeLedger(this.tree, this.held, this.unavailable, configuration)
+    this.guarantees = new GuaranteeAllocator(this.tree, this.committed, this.unavailable, configuration)
   }
 
-  /** Accelerators of the inventory. */
+  /** Number of accelerators in the inventory. */
   get accelerators (): number {
     return this.tree.workers.reduce((sum, worker) => sum + worker.accelerators, 0)
   }
 
-  /** Accelerators of some cells. */
+  /** Number of accelerators in the given cells. */
   acceleratorsOf (cells: readonly number[]): number {
     return cells.reduce((sum, cell) => sum + 2 ** this.tree.level[cell]!, 0)
   }
 
-  /** Makes a worker's cells usable or not. */
+  /** Sets whether new tasks may be placed on a worker. */
   setAvailable (workerId: string, isAvailable: boolean): void {
     const index = this.tree.workerIndex(workerId)
     if (index === undefined || this.#unavailableWorkers.has(index) === !isAvailable) return
@@ -60,8 +63,8 @@
     for (const cell of this.tree.workers[index]!.topCells) this.#setUnavailable(cell, !isAvailable)
   }
 
-  /** Runs a search in which the given workers look unavailable. */
-  without<T> (workerIds: Iterable<string>, search: () => T): T {
+  /** Runs a search with the given workers treated as unavailable. */
+  withoutWorkers<T> (workerIds: Iterable<string>, search: () => T): T {
     const hidden = [...workerIds].filter(workerId => this.isAvailable(workerId))
     for (const workerId of hidden) this.setAvailable(workerId, false)
     const result = search()
@@ -69,131 +72,132 @@
     return result
   }
 
-  /** Whether a worker of the inventory is usable. */
+  /** Whether a worker is in the inventory and new tasks may be placed on it. */
   isAvailable (workerId: string): boolean {
     const index = this.tree.workerIndex(workerId)
     return index !== undefined && !this.#unavailableWorkers.has(index)
   }
 
-  /** Puts a job into the cells of its plan. */
+  /** Marks the cells of a plan as occupied by a job. */
   occupy (job: JobRecord, plan: GangPlan): void {
     for (const cell of plan.cells) {
-      this.#jobAt.set(cell, job)
+      this.#jobByCell.set(cell, job)
       this.#markPlan(cell, job, plan)
     }
     for (const binding of plan.bindings) binding.users += 1
   }
 
-  /** Takes a job out of its cells, and releases guaranteed cells with their last task. */
+  /** Frees the cells of a job. A guaranteed cell is released with the last task that uses it. */
   vacate (job: JobRecord, plan: GangPlan): void {
     for (const cell of plan.cells) {
-      this.#jobAt.delete(cell)
+      this.#jobByCell.delete(cell)
       this.#unmarkPlan(cell, job, plan)
     }
     this.#releaseBindings(plan)
   }
 
-  /** Keeps the cells of a plan for a job while others leave them. */
+  /** Claims the cells of a plan for a job while the preempted jobs vacate them. */
   claim (job: JobRecord, plan: GangPlan): void {
     for (const cell of plan.cells) {
-      this.#claimAt.set(cell, job)
+      this.#claimantByCell.set(cell, job)
       this.used.mark(cell)
-      this.firm.mark(cell)
+      this.nonPreemptible.mark(cell)
     }
     for (const binding of plan.bindings) binding.users += 1
   }
 
-  /** Ends a claim. */
-  unclaim (plan: GangPlan): void {
+  releaseClaim (plan: GangPlan): void {
     for (const cell of plan.cells) {
-      this.#claimAt.delete(cell)
+      this.#claimantByCell.delete(cell)
       this.used.unmark(cell)
-      this.firm.unmark(cell)
+      this.nonPreemptible.unmark(cell)
     }
     this.#releaseBindings(plan)
   }
 
-  /** Jobs in a cell, in the cells that contain it and in the cells below it. */
+  /** Jobs that occupy a cell, one of its ancestors or one of its descendants. */
   jobsIn (cell: number): ReadonlySet<JobRecord> {
-    return this.#collect(cell, this.#jobAt)
+    return this.#collectJobs(cell, this.#jobByCell)
   }
 
-  /** Jobs that have claimed parts of a cell. */
-  claimsIn (cell: number): ReadonlySet<JobRecord> {
-    return this.#claimAt.size === 0 ? NO_VICTIMS : this.#collect(cell, this.#claimAt)
+  /** Jobs with a claim on a cell, one of its ancestors or one of its descendants. */
+  claimantsIn (cell: number): ReadonlySet<JobRecord> {
+    return this.#claimantByCell.size === 0 ? NO_VICTIMS : this.#collectJobs(cell, this.#claimantByCell)
   }
 
-  /** All jobs that have a claim on a cell of the given worker. */
-  claimsOnWorker (workerId: string): ReadonlySet<JobRecord> {
+  /** Jobs with a claim on a cell of a worker. */
+  claimantsOnWorker (workerId: string): ReadonlySet<JobRecord> {
     const index = this.tree.workerIndex(workerId)
     const found = new Set<JobRecord>()
     if (index === undefined) return found
-    for (const [cell, job] of this.#claimAt) if (this.tree.worker[cell] === index) found.add(job)
+    for (const [cell, job] of this.#claimantByCell) if (this.tree.worker[cell] === index) found.add(job)
     return found
   }
 
-  /** Cells of a level within `root` that can be taken when the jobs in them may be asked to leave. */
-  slotsWithin (root: number, level: number, mayLeave: VictimRule, costOf: (job: JobRecord) => number): CellSlot[] {
-    const slots: CellSlot[] = []
-    if (this.tree.level[root]! >= level && !this.firm.hasMarkAbove(root)) {
-      this.#collectSlots(root, level, mayLeave, costOf, slots)
+  /** Cells of a level within `root` that are free, or occupied only by preemptible jobs that `isVictim` accepts. */
+  candidatesWithin (
+    root: number, level: number, isVictim: VictimFilter, costOf: (job: JobRecord) => number
+  ): CandidateCell[] {
+    const candidates: CandidateCell[] = []
+    if (this.tree.level[root]! >= level && !this.nonPreemptible.hasMarkAbove(root)) {
+      this.#collectCandidates(root, level, isVictim, costOf, candidates)
     }
-    return slots
+    return candidates
   }
 
-  /** Cells of a level within `root`, occupied or not, where no worker is unavailable. */
-  workingCells (root: number, level: number, found: number[] = []): number[] {
+  /** Cells of a level within `root`, free or occupied, whose workers are all available. */
+  availableCells (root: number, level: number, found: number[] = []): number[] {
     if (this.unavailable.marksOn(root) > 0 || this.tree.level[root]! < level) return found
     if (this.tree.level[root] === level) {
       if (this.unavailable.marksBelow(root) === 0) found.push(root)
       return found
     }
     const left = this.tree.firstChild[root]!
-    this.workingCells(left, level, found)
-    return this.workingCells(left + 1, level, found)
+    this.availableCells(left, level, found)
+    return this.availableCells(left + 1, level, found)
   }
 
-  #collectSlots (
-    cell: number, level: number, mayLeave: VictimRule, costOf: (job: JobRecord) => number, slots: CellSlot[]
+  #collectCandidates (
+    cell: number, level: number, isVictim: VictimFilter, costOf: (job: JobRecord) => number, candidates: CandidateCell[]
   ): void {
-    if (this.firm.marksOn(cell) > 0) return
+    if (this.nonPreemptible.marksOn(cell) > 0) return
     if (this.tree.level[cell]! > level) {
       const left = this.tree.firstChild[cell]!
-      this.#collectSlots(left, level, mayLeave, costOf, slots)
-      this.#collectSlots(left + 1, level, mayLeave, costOf, slots)
+      this.#collectCandidates(left, level, isVictim, costOf, candidates)
+      this.#collectCandidates(left + 1, level, isVictim, costOf, candidates)
       return
     }
-    if (this.firm.marksBelow(cell) > 0) return
+    if (this.nonPreemptible.marksBelow(cell) > 0) return
     const victims = this.used.isFree(cell) ? NO_VICTIMS : this.jobsIn(cell)
     let cost = 0
     for (const victim of victims) {
-      if (!isReclaimable(victim.spec) || !mayLeave(victim)) return
+      if (!isPreemptible(victim.spec) || !isVictim(victim)) return
       cost += costOf(victim)
     }
-    slots.push({ cell, cost, victims })
+    candidates.push({ cell, cost, victims })
   }
 
-  #collect (cell: number, jobs: ReadonlyMap<number, JobRecord>): ReadonlySet<JobRecord> {
+  #collectJobs (cell: number, jobByCell: ReadonlyMap<number, JobRecord>): ReadonlySet<JobRecord> {
     const found = new Set<JobRecord>()
-    for (let up = this.tree.parent[cell]!; up !== NO_CELL; up = this.tree.parent[up]!) {
-      const job = jobs.get(up)
+    for (let ancestor = this.tree.parent[cell]!; ancestor !== NO_CELL; ancestor = this.tree.parent[ancestor]!) {
+      const job = jobByCell.get(ancestor)
       if (job !== undefined) found.add(job)
     }
-    this.#collectBelow(cell, jobs, found)
+    this.#collectJobsBelow(cell, jobByCell, found)
     return found
   }
 
-  #collectBelow (cell: number, jobs: ReadonlyMap<number, JobRecord>, found: Set<JobRecord>): void {
-    const job = jobs.get(cell)
+  #collectJobsBelow (cell: number, jobByCell: ReadonlyMap<number, JobRecord>, found: Set<JobRecord>): void {
+    const job = jobByCell.get(cell)
     if (job !== undefined) found.add(job)
     if (this.used.marksBelow(cell) === 0) return
     const left = this.tree.firstChild[cell]!
-    this.#collectBelow(left, jobs, found)
-    this.#collectBelow(left + 1, jobs, found)
+    this.#collectJobsBelow(left, jobByCell, found)
+    this.#collectJobsBelow(left + 1, jobByCell, found)
   }
 
   #setUnavailable (cell: number, isUnavailable: boolean): void {
-    for (const marks of [this.used, this.held, this.firm, this.unavailable]) {
+    for (const marks of [this.used, this.committed, this.nonPreemptible, this.unavailable]) {
       if (isUnavailable) marks.mark(cell)
       else marks.unmark(cell)
     }
@@ -201,22 +205,22 @@
 
   #markPlan (cell: number, job: JobRecord, plan: GangPlan): void {
     this.used.mark(cell)
-    if (plan.capacityClass === 'guaranteed' || !isReclaimable(job.spec)) this.firm.mark(cell)
-    if (plan.capacityClass === 'lent' && !isReclaimable(job.spec)) this.held.mark(cell)
+    if (plan.capacityClass === 'guaranteed' || !isPreemptible(job.spec)) this.nonPreemptible.mark(cell)
+    if (plan.capacityClass === 'lent' && !isPreemptible(job.spec)) this.committed.mark(cell)
   }
 
   #unmarkPlan (cell: number, job: JobRecord, plan: GangPlan): void {
     this.used.unmark(cell)
-    if (plan.capacityClass === 'guaranteed' || !isReclaimable(job.spec)) this.firm.unmark(cell)
-    if (plan.capacityClass === 'lent' && !isReclaimable(job.spec)) this.held.unmark(cell)
+    if (plan.capacityClass === 'guaranteed' || !isPreemptible(job.spec)) this.nonPreemptible.unmark(cell)
+    if (plan.capacityClass === 'lent' && !isPreemptible(job.spec)) this.committed.unmark(cell)
   }
 
   #releaseBindings (plan: GangPlan): void {
-    for (const binding of plan.bindings) this.#releaseUser(binding)
+    for (const binding of plan.bindings) this.#releaseBinding(binding)
   }
 
-  #releaseUser (binding: Binding): void {
+  #releaseBinding (binding: Binding): void {
     binding.users -= 1
-    if (binding.users === 0) this.ledger.release(binding)
+    if (binding.users === 0) this.guarantees.release(binding)
   }
 }
--- a/packages/placement/src/guarantees.ts
+++ b/packages/placement/src/guarantees.ts
@@ -1,11 +1,16 @@
-/** Guaranteed cells: which are bound to physical cells, by whom they are used, and whether the rest can be held. */
+/**
+ * Binds guaranteed cells to physical cells, and checks that the unbound ones can still be provided.
+ *
+ * A guarantee promises a number of cells of one size without fixing which. A cell is bound to a physical cell while
+ * tasks of the organisation use it.
+ */
 import type { Configuration, Guarantee } from '@comfreygrade/core'
 import type { CellTree } from './cells.js'
 import type { ReclaimCheck } from './decisions.js'
-import type { CellMarks, FreeCells } from './occupancy.js'
+import type { CellMarks, FreeCellIndex } from './occupancy.js'
 import { guaranteeLevel, missingByLevel } from './reclaim-check.js'
 
-/** A guarantee and the physical cells that it is bound to at present. */
+/** A guarantee and the physical cells that it is bound to. */
 export interface GuaranteeState {
   readonly guarantee: Guarantee
   readonly level: number
@@ -20,31 +25,34 @@
   users: number
 }
 
-/** Keeps the bindings of all guarantees. A bound cell is marked in `held`; the reclaim check counts what is not. */
-export class GuaranteeLedger {
+/**
+ * Allocates physical cells to guarantees. Bound cells are marked in `committed`; the reclaim check compares the unbound
+ * guaranteed cells with the cells that are not committed.
+ */
+export class GuaranteeAllocator {
   readonly #tree: CellTree
-  readonly #held: FreeCells
+  readonly #committed: FreeCellIndex
   readonly #unavailable: CellMarks
   readonly #states: GuaranteeState[] = []
-  readonly #byHolder = new Map<string, GuaranteeState[]>()
+  readonly #byOrganisationAndModel = new Map<string, GuaranteeState[]>()
   readonly #bindings = new Map<number, Binding>()
-  readonly #demand = new Map<number, number[]>()
+  readonly #demandByModel = new Map<number, number[]>()
 
   /**
-   * @param held marks of cells that are bound, lost or used by jobs that cannot be reclaimed
-   * @param unavailable marks of cells that are lost, draining or quarantined
+   * @param committed marks of cells that are bound, unavailable or used by non-preemptible jobs
+   * @param unavailable marks of cells on lost, draining or quarantined workers
    */
-  constructor (tree: CellTree, held: FreeCells, unavailable: CellMarks, configuration: Configuration) {
+  constructor (tree: CellTree, committed: FreeCellIndex, unavailable: CellMarks, configuration: Configuration) {
     this.#tree = tree
-    this.#held = held
+    this.#committed = committed
     this.#unavailable = unavailable
     for (const guarantee of configuration.guarantees.values()) this.#add(guarantee)
-    for (const states of this.#byHolder.values()) states.sort((left, right) => left.level - right.level)
+    for (const states of this.#byOrganisationAndModel.values()) states.sort((left, right) => left.level - right.level)
   }
 
-  /** Guarantees of an organisation for a model, the smallest cells first. */
-  of (organisationId: string, acceleratorModel: string): readonly GuaranteeState[] {
-    return this.#byHolder.get(`${organisationId}/${acceleratorModel}`) ?? []
+  /** Guarantees of an organisation for an accelerator model, in increasing order of cell size. */
+  forOrganisation (organisationId: string, acceleratorModel: string): readonly GuaranteeState[] {
+    return this.#byOrganisationAndModel.get(`${organisationId}/${acceleratorModel}`) ?? []
   }
 
   /** All guarantees with their bindings. */
@@ -58,55 +66,56 @@
   }
 
   /**
-   * Binds one cell of a guarantee to a physical cell if everything else that is guaranteed still fits.
+   * Binds one cell of a guarantee to a physical cell, unless other guaranteed cells could then no longer be provided.
    *
-   * @returns undefined where the guarantee is used up, the cell is held, or another guarantee would not fit any more
+   * @returns undefined if the guarantee has no unbound cell, the cell is committed, or more guaranteed cells would be
+   * missing
    */
   bind (state: GuaranteeState, cell: number): Binding | undefined {
-    if (state.boundCells.size >= state.guarantee.cells || !this.#held.isFree(cell)) return undefined
-    const missingBefore = this.#missingTotal(state.modelIndex)
-    const binding = this.#attach(state, cell)
-    if (this.#missingTotal(state.modelIndex) <= missingBefore) return binding
+    if (state.boundCells.size >= state.guarantee.cells || !this.#committed.isFree(cell)) return undefined
+    const missingBefore = this.#missingAccelerators(state.modelIndex)
+    const binding = this.#addBinding(state, cell)
+    if (this.#missingAccelerators(state.modelIndex) <= missingBefore) return binding
     this.release(binding)
     return undefined
   }
 
-  /** Binds a cell as recorded before a change of leader, without the check: the job runs there already. */
-  rebind (state: GuaranteeState, cell: number): Binding | undefined {
+  /** Binds the cell of a recorded placement without the reclaim check, as the job already runs there. */
+  restoreBinding (state: GuaranteeState, cell: number): Binding | undefined {
     if (state.boundCells.size >= state.guarantee.cells || this.#overlapsBinding(cell)) return undefined
-    return this.#attach(state, cell)
+    return this.#addBinding(state, cell)
   }
 
-  /** Returns a cell to its guarantee. */
+  /** Unbinds a cell of a guarantee from its physical cell. */
   release (binding: Binding): void {
     this.#bindings.delete(binding.cell)
     binding.state.boundCells.delete(binding.cell)
-    this.#held.unmark(binding.cell)
+    this.#committed.unmark(binding.cell)
     this.#demandOf(binding.state.modelIndex)[binding.state.level]! += 1
   }
 
-  /** Whether cells can be held by jobs that are never reclaimed, without making a guarantee miss more cells. */
-  canHold (cells: readonly number[]): boolean {
+  /** Whether a non-preemptible job can use the cells without increasing the number of missing guaranteed cells. */
+  canCommit (cells: readonly number[]): boolean {
     const modelIndex = this.#tree.poolOf(cells[0]!).modelIndex
-    if (!cells.every(cell => this.#held.isFree(cell))) return false
-    const missingBefore = this.#missingTotal(modelIndex)
-    for (const cell of cells) this.#held.mark(cell)
-    const missingAfter = this.#missingTotal(modelIndex)
-    for (const cell of cells) this.#held.unmark(cell)
+    if (!cells.every(cell => this.#committed.isFree(cell))) return false
+    const missingBefore = this.#missingAccelerators(modelIndex)
+    for (const cell of cells) this.#committed.mark(cell)
+    const missingAfter = this.#missingAccelerators(modelIndex)
+    for (const cell of cells) this.#committed.unmark(cell)
     return missingAfter <= missingBefore
   }
 
-  /** Cells of each guarantee that the working hardware cannot hold, bound ones with failed parts included. */
+  /** Counts the missing cells of each guarantee: unbound cells that do not fit, and unavailable bound cells. */
   check (): ReclaimCheck {
     const missingCells: Array<{ guaranteeId: string, cells: number }> = []
     const missing = new Map<number, number[]>()
-    for (const modelIndex of this.#demand.keys()) missing.set(modelIndex, this.#missing(modelIndex))
+    for (const modelIndex of this.#demandByModel.keys()) missing.set(modelIndex, this.#missingCells(modelIndex))
     for (const state of this.#states) {
-      const left = missing.get(state.modelIndex)!
+      const remaining = missing.get(state.modelIndex)!
       const unbound = state.guarantee.cells - state.boundCells.size
-      const unheld = Math.min(unbound, left[state.level] ?? 0)
-      left[state.level]! -= unheld
-      const cells = unheld + this.#damaged(state)
+      const unsatisfied = Math.min(unbound, remaining[state.level] ?? 0)
+      remaining[state.level]! -= unsatisfied
+      const cells = unsatisfied + this.#countUnavailableBoundCells(state)
       if (cells > 0) missingCells.push({ guaranteeId: state.guarantee.guaranteeId, cells })
     }
     return { isReclaimable: missingCells.length === 0, missingCells }
@@ -120,16 +129,16 @@
       boundCells: new Set()
     }
     this.#states.push(state)
-    const holder = `${guarantee.organisationId}/${guarantee.acceleratorModel}`
-    this.#byHolder.set(holder, [...this.#byHolder.get(holder) ?? [], state])
+    const key = `${guarantee.organisationId}/${guarantee.acceleratorModel}`
+    this.#byOrganisationAndModel.set(key, [...this.#byOrganisationAndModel.get(key) ?? [], state])
     const demand = this.#demandOf(state.modelIndex)
     while (demand.length <= state.level) demand.push(0)
     demand[state.level]! += guarantee.cells
   }
 
-  #attach (state: GuaranteeState, cell: number): Binding {
+  #addBinding (state: GuaranteeState, cell: number): Binding {
     const binding: Binding = { state, cell, users: 0 }
-    this.#held.mark(cell)
+    this.#committed.mark(cell)
     this.#demandOf(state.modelIndex)[state.level]! -= 1
     state.boundCells.add(cell)
     this.#bindings.set(cell, binding)
@@ -145,7 +154,7 @@
     return false
   }
 
-  #damaged (state: GuaranteeState): number {
+  #countUnavailableBoundCells (state: GuaranteeState): number {
     let count = 0
     for (const cell of state.boundCells) {
       if (!this.#unavailable.isFree(cell)) count += 1
@@ -154,18 +163,18 @@
   }
 
   #demandOf (modelIndex: number): number[] {
-    const known = this.#demand.get(modelIndex)
-    if (known !== undefined) return known
+    const existing = this.#demandByModel.get(modelIndex)
+    if (existing !== undefined) return existing
     const created: number[] = []
-    this.#demand.set(modelIndex, created)
+    this.#demandByModel.set(modelIndex, created)
     return created
   }
 
-  #missing (modelIndex: number): number[] {
-    return missingByLevel(this.#held.listedByLevel(modelIndex), this.#demandOf(modelIndex))
+  #missingCells (modelIndex: number): number[] {
+    return missingByLevel(this.#committed.maximalCellsByLevel(modelIndex), this.#demandOf(modelIndex))
   }
 
-  #missingTotal (modelIndex: number): number {
-    return this.#missing(modelIndex).reduce((total, cells, level) => total + cells * 2 ** level, 0)
+  #missingAccelerators (modelIndex: number): number {
+    return this.#missingCells(modelIndex).reduce((total, cells, level) => total + cells * 2 ** level, 0)
   }
 }
--- a/packages/placement/src/jobs.ts
+++ b/packages/placement/src/job-record.ts
@@ -1,59 +1,59 @@
-/** Jobs as the gang scheduler keeps them. */
+/** The scheduler's record of a job. */
 import type { CapacityClass, JobSpec, Placement } from '@comfreygrade/core'
 import type { Binding } from './guarantees.js'
 import type { GangShape } from './shapes.js'
 import type { WaitingGroup } from './waiting-jobs.js'
 
-/** Where a job is in the scheduler; `claiming` holds cells that other jobs still have to leave. */
-export type RecordState = 'waiting' | 'claiming' | 'placed'
+/** State of a job in the scheduler; a `claiming` job has cells that preempted jobs have not vacated yet. */
+export type JobRecordState = 'waiting' | 'claiming' | 'placed'
 
 /** Cells chosen for a whole gang. */
 export interface GangPlan {
   readonly capacityClass: CapacityClass
   /** One cell for each task. */
   readonly cells: readonly number[]
-  /** Guaranteed cells that the tasks use; one entry for each task, none for lent capacity. */
+  /** Guaranteed cells that the tasks use, one entry for each task; empty on lent capacity. */
   readonly bindings: readonly Binding[]
-  /** Jobs that have to leave first. */
+  /** Jobs that must vacate the cells first. */
   readonly victims: ReadonlySet<JobRecord>
-  /** One sentence for `explain`. */
+  /** One sentence for `explain`: why these cells. */
   readonly reason: string
 }
 
-/** A job with its state; owned by the scheduler. */
+/** A job and its mutable state; owned by the scheduler. */
 export interface JobRecord {
   readonly spec: JobSpec
   /** Order of submission. */
   readonly sequence: number
   readonly submittedMs: number
   shape: GangShape
-  state: RecordState
+  state: JobRecordState
   plan: GangPlan | undefined
   placement: Placement | undefined
   startedMs: number
   /** Accelerators that count against the quota. */
   heldAccelerators: number
-  isReclaiming: boolean
-  /** Whether the job ends, rather than waits again, when its cells are free. */
-  isLeaving: boolean
+  isBeingPreempted: boolean
+  /** Whether the job ends, rather than being requeued, once it has vacated its cells. */
+  isTerminating: boolean
   readonly failedWorkerIds: Set<string>
   hasFailedTask: boolean
-  /** Jobs that wait for this one to leave. */
+  /** Jobs whose claims wait for this one to vacate its cells. */
   readonly claimants: Set<JobRecord>
-  /** Jobs that this one still waits for. */
-  readonly waitsFor: Set<JobRecord>
+  /** Preempted jobs that have not vacated the claimed cells yet. */
+  readonly pendingVictims: Set<JobRecord>
   group: WaitingGroup | undefined
   previous: JobRecord | undefined
   next: JobRecord | undefined
 }
 
-/** Whether a job may be asked to leave lent capacity. */
-export function isReclaimable (spec: JobSpec): boolean {
+/** Whether a job on lent capacity may be preempted. */
+export function isPreemptible (spec: JobSpec): boolean {
   return spec.preemption !== 'none'
 }
 
-/** A job that was just submitted. */
-export function createRecord (spec: JobSpec, shape: GangShape, sequence: number, nowMs: number): JobRecord {
+/** Creates the record of a submitted job. */
+export function createJobRecord (spec: JobSpec, shape: GangShape, sequence: number, nowMs: number): JobRecord {
   return {
     spec,
     sequence,
@@ -64,12 +64,12 @@
     placement: undefined,
     startedMs: nowMs,
     heldAccelerators: 0,
-    isReclaiming: false,
-    isLeaving: false,
+    isBeingPreempted: false,
+    isTerminating: false,
     failedWorkerIds: new Set(),
     hasFailedTask: false,
     claimants: new Set(),
-    waitsFor: new Set(),
+    pendingVictims: new Set(),
     group: undefined,
     previous: undefined,
     next: undefined
--- a/packages/placement/src/organisations.ts
+++ b/packages/placement/src/organisations.ts
@@ -1,25 +1,25 @@
-/** Use of the fleet by organisations: quotas and attained service. */
+/** Usage of the fleet by organisation: quotas and attained service. */
 import type { Organisation } from '@comfreygrade/core'
 
-interface OrganisationUse {
+interface UsageRecord {
   acceleratorsInUse: number
-  /** Decayed accelerator-milliseconds up to `updatedMs`. */
-  attained: number
+  /** Exponentially decayed accelerator-milliseconds up to `updatedMs`. */
+  attainedAcceleratorMs: number
   updatedMs: number
 }
 
-/** Counts what organisations hold and have held. */
-export class OrganisationShares {
+/** Tracks the accelerators that each organisation uses, and its decayed past use for fair sharing. */
+export class OrganisationUsage {
   readonly #halfLifeMs: number
-  readonly #uses = new Map<string, OrganisationUse>()
+  readonly #records = new Map<string, UsageRecord>()
   #organisations: ReadonlyMap<string, Organisation> = new Map()
 
-  /** @param halfLifeMs time in which past use counts half */
+  /** @param halfLifeMs time after which past use counts half */
   constructor (halfLifeMs: number) {
     this.#halfLifeMs = halfLifeMs
   }
 
-  /** Replaces the organisations and their quotas; use is kept. */
+  /** Replaces the organisations and their quotas; recorded usage is kept. */
   configure (organisations: ReadonlyMap<string, Organisation>): void {
     this.#organisations = organisations
   }
@@ -29,38 +29,40 @@
     return this.#organisations.has(organisationId)
   }
 
-  /** Accelerators that the organisation may hold at once; 0 for one that was removed. */
+  /** Accelerators that the organisation may use at the same time; 0 if it is not in the configuration. */
   quota (organisationId: string): number {
     return this.#organisations.get(organisationId)?.quotaAccelerators ?? 0
   }
 
-  /** Accelerators that the organisation holds. */
+  /** Accelerators that the jobs of the organisation hold or have claimed. */
   inUse (organisationId: string): number {
-    return this.#uses.get(organisationId)?.acceleratorsInUse ?? 0
+    return this.#records.get(organisationId)?.acceleratorsInUse ?? 0
   }
 
-  /** Adds or removes held accelerators. */
-  change (organisationId: string, accelerators: number, nowMs: number): void {
-    const use = this.#advance(organisationId, nowMs)
-    use.acceleratorsInUse += accelerators
+  /** Changes the number of accelerators in use; negative to release them. */
+  addInUse (organisationId: string, accelerators: number, nowMs: number): void {
+    const record = this.#recordAt(organisationId, nowMs)
+    record.acceleratorsInUse += accelerators
   }
 
-  /** Attained service against the quota: held accelerators plus the decayed past, divided by the quota. */
-  share (organisationId: string, nowMs: number): number {
-    const use = this.#advance(organisationId, nowMs)
-    return (use.acceleratorsInUse + use.attained / this.#halfLifeMs) / Math.max(1, this.quota(organisationId))
+  /** Attained service relative to the quota: accelerators in use plus decayed past use, divided by the quota. */
+  attainedShare (organisationId: string, nowMs: number): number {
+    const record = this.#recordAt(organisationId, nowMs)
+    return (record.acceleratorsInUse + record.attainedAcceleratorMs / this.#halfLifeMs) /
+      Math.max(1, this.quota(organisationId))
   }
 
-  #advance (organisationId: string, nowMs: number): OrganisationUse {
-    let use = this.#uses.get(organisationId)
-    if (use === undefined) {
-      use = { acceleratorsInUse: 0, attained: 0, updatedMs: nowMs }
-      this.#uses.set(organisationId, use)
+  #recordAt (organisationId: string, nowMs: number): UsageRecord {
+    let record = this.#records.get(organisationId)
+    if (record === undefined) {
+      record = { acceleratorsInUse: 0, attainedAcceleratorMs: 0, updatedMs: nowMs }
+      this.#records.set(organisationId, record)
     }
-    const elapsedMs = Math.max(0, nowMs - use.updatedMs)
-    if (elapsedMs === 0) return use
-    use.attained = use.attained * 2 ** (-elapsedMs / this.#halfLifeMs) + use.acceleratorsInUse * elapsedMs
-    use.updatedMs = nowMs
-    return use
+    const elapsedMs = Math.max(0, nowMs - record.updatedMs)
+    if (elapsedMs === 0) return record
+    record.attainedAcceleratorMs =
+      record.attainedAcceleratorMs * 2 ** (-elapsedMs / this.#halfLifeMs) + record.acceleratorsInUse * elapsedMs
+    record.updatedMs = nowMs
+    return record
   }
 }
--- a/packages/placement/src/policies.ts
+++ b/packages/placement/src/policies.ts
@@ -1,21 +1,21 @@
-/** Policies of the gang scheduler: what varies between the real one and the baseline. */
+/** Placement policies: the production policy and a baseline for comparison. */
 import type { JobPriority, JobSpec } from '@comfreygrade/core'
 import type { CellPool } from './cells.js'
-import type { FreeCells } from './occupancy.js'
+import type { FreeCellIndex } from './occupancy.js'
 
-/** What a policy sees of the job that a group of waiting jobs would start next. */
-export interface WaitingHead {
+/** Sort key of a waiting job. */
+export interface WaitingOrderKey {
   readonly priority: JobPriority
   /** Order of submission. */
   readonly sequence: number
-  /** The organisation's attained service against its quota. */
-  readonly share: number
+  /** The organisation's attained service relative to its quota; `-Infinity` for the holder of a reservation. */
+  readonly attainedShare: number
 }
 
 const PRIORITY_ORDER: Readonly<Record<JobPriority, number>> = { urgent: 0, normal: 1, low: 2 }
 
 /**
- * Compares priorities.
+ * Compares priorities; negative if `left` is the higher one.
  *
  * @example
  * comparePriority('urgent', 'low') < 0
@@ -24,35 +24,36 @@
   return PRIORITY_ORDER[left] - PRIORITY_ORDER[right]
 }
 
-/** Decisions that differ between schedulers. */
+/** The choices of the gang scheduler that vary between policies. */
 export abstract class PlacementPolicy {
-  /** Name for reports. */
+  /** Name in benchmark reports. */
   abstract readonly name: string
-  /** Order in which waiting jobs are considered; negative where `left` goes first. */
-  abstract compareWaiting (left: WaitingHead, right: WaitingHead): number
-  /** Racks of a pool with at least `minFree` free accelerators, in the order in which they are tried. */
-  abstract candidateRacks (cells: FreeCells, pool: CellPool, minFree: number): Iterable<number>
-  /** Whether the smallest cell that fits is taken, or the first. */
+  /** Order in which waiting jobs are tried; negative if `left` comes first. */
+  abstract compareWaiting (left: WaitingOrderKey, right: WaitingOrderKey): number
+  /** Racks of a pool with at least `minFree` free accelerators, in the order in which they are searched. */
+  abstract candidateRacks (cells: FreeCellIndex, pool: CellPool, minFree: number): Iterable<number>
+  /** Whether cells are chosen by best fit (the smallest that is large enough) instead of first fit. */
   abstract takesSmallestCell (): boolean
-  /** Whether guaranteed cells are bound and lent capacity is reclaimed for them. */
+  /** Whether guarantees are honoured: cells are bound to them, and lent capacity is reclaimed for them. */
   abstract usesGuarantees (): boolean
-  /** Whether urgent jobs take lent capacity of lower priorities. */
-  abstract reclaimsForUrgent (): boolean
-  /** Whether jobs may start before an earlier one that does not fit, without delaying its reserved start. */
+  /** Whether urgent jobs preempt jobs of lower priority on lent capacity. */
+  abstract preemptsForUrgent (): boolean
+  /** Whether jobs may start ahead of one that does not fit, as long as they do not delay its reserved start. */
   abstract backfills (): boolean
-  /** Estimated run time in milliseconds; `learnedMs` is undefined without enough history. */
+  /** Estimated run time in milliseconds; `learnedMs` is undefined until enough runs have finished. */
   abstract estimateRunMs (spec: JobSpec, learnedMs: number | undefined): number
 }
 
-/** The policy of production: best fit in buddy cells, guarantees, fair shares, EASY backfilling, learned run times. */
+/** Production policy: best fit in buddy cells, guarantees, fair sharing, EASY backfilling, learned run times. */
 export class BuddyCellPolicy extends PlacementPolicy {
   readonly name: string = 'buddy cells'
 
-  override compareWaiting (left: WaitingHead, right: WaitingHead): number {
-    return comparePriority(left.priority, right.priority) || left.share - right.share || left.sequence - right.sequence
+  override compareWaiting (left: WaitingOrderKey, right: WaitingOrderKey): number {
+    return comparePriority(left.priority, right.priority) || left.attainedShare - right.attainedShare ||
+      left.sequence - right.sequence
   }
 
-  override candidateRacks (cells: FreeCells, pool: CellPool, minFree: number): Iterable<number> {
+  override candidateRacks (cells: FreeCellIndex, pool: CellPool, minFree: number): Iterable<number> {
     return cells.racksByFullness(pool.index, minFree)
   }
 
@@ -64,7 +65,7 @@
     return true
   }
 
-  override reclaimsForUrgent (): boolean {
+  override preemptsForUrgent (): boolean {
     return true
   }
 
@@ -77,15 +78,15 @@
   }
 }
 
-/** The baseline: first come, first served, first fit, no guarantees, nothing overtakes the first waiting job. */
+/** Baseline: first come, first served, first fit, without guarantees, preemption or backfilling. */
 export class FirstFitPolicy extends PlacementPolicy {
   readonly name: string = 'first fit'
 
-  override compareWaiting (left: WaitingHead, right: WaitingHead): number {
+  override compareWaiting (left: WaitingOrderKey, right: WaitingOrderKey): number {
     return left.sequence - right.sequence
   }
 
-  override candidateRacks (cells: FreeCells, pool: CellPool, minFree: number): Iterable<number> {
+  override candidateRacks (cells: FreeCellIndex, pool: CellPool, minFree: number): Iterable<number> {
     return pool.rackIndexes.filter(rackIndex => cells.freeInRack(rackIndex) >= minFree)
   }
 
@@ -97,7 +98,7 @@
     return false
   }
 
-  override reclaimsForUrgent (): boolean {
+  override preemptsForUrgent (): boolean {
     return false
   }
 
--- a/packages/placement/src/reclaim-check.ts
+++ b/packages/placement/src/reclaim-check.ts
@@ -1,15 +1,15 @@
-/** The reclaim invariant: whether free cells hold all guaranteed cells, by level. */
+/** The reclaim invariant: the free cells can be split into all guaranteed cells, checked level by level. */
 import { type Configuration, type Failure, type Guarantee, failure } from '@comfreygrade/core'
-import { buildCellTree, levelFor } from './cells.js'
-import { FreeCells } from './occupancy.js'
+import { buildCellTree, smallestLevelHolding } from './cells.js'
+import { FreeCellIndex } from './occupancy.js'
 
 /**
- * Missing cells by level. Fitting from the largest level downwards is exact for cells of power-of-two sizes: what a
- * level leaves over is split in two for the next.
+ * Counts missing cells by level. Fitting greedily from the highest level down is exact for power-of-two sizes: each
+ * cell that one level does not need is split in two for the next.
  *
- * @param free listed free cells by level
- * @param demand cells to hold by level
- * @returns the cells of each level that do not fit; all zero where the invariant holds
+ * @param free number of maximal free cells by level
+ * @param demand number of required cells by level
+ * @returns the number of cells of each level that do not fit; all zero if the invariant holds
  * @example
  * missingByLevel([0, 1], [3, 0]) // [1, 0]
  */
@@ -27,32 +27,32 @@
   return missing
 }
 
-/** Level of one cell of a guarantee. */
+/** Level of the cells of a guarantee. */
 export function guaranteeLevel (guarantee: Guarantee): number {
-  return levelFor(guarantee.acceleratorsPerCell)
+  return smallestLevelHolding(guarantee.acceleratorsPerCell)
 }
 
 /**
- * Checks that the whole inventory, when all of it works, holds all guarantees.
+ * Checks that the inventory can provide all guarantees when all workers are available and free.
  *
- * @returns `guarantee_unsatisfiable` with the guarantees and the missing cells, or undefined
+ * @returns `guarantee_unsatisfiable` with the guarantees and their missing cells; undefined if all can be provided
  * @example
- * const problem = validateGuarantees(configuration)
- * if (problem !== undefined) console.log(problem.detail)
+ * const failure = validateGuarantees(configuration)
+ * if (failure !== undefined) console.log(failure.detail)
  */
 export function validateGuarantees (configuration: Configuration): Failure | undefined {
   const tree = buildCellTree(configuration)
-  const cells = new FreeCells(tree)
-  const problems: string[] = []
+  const freeCells = new FreeCellIndex(tree)
+  const shortages: string[] = []
   for (const [model, guarantees] of guaranteesByModel(configuration)) {
     const modelIndex = tree.modelIndex(model)
-    const missing = missingByLevel(cells.listedByLevel(modelIndex), demandByLevel(guarantees))
+    const missing = missingByLevel(freeCells.maximalCellsByLevel(modelIndex), demandByLevel(guarantees))
     for (const guarantee of guarantees) {
       const count = missing[guaranteeLevel(guarantee)]!
-      if (count > 0) problems.push(describeMissing(guarantee, Math.min(count, guarantee.cells)))
+      if (count > 0) shortages.push(describeShortage(guarantee, Math.min(count, guarantee.cells)))
     }
   }
-  return problems.length === 0 ? undefined : failure('guarantee_unsatisfiable', problems.join('; '))
+  return shortages.length === 0 ? undefined : failure('guarantee_unsatisfiable', shortages.join('; '))
 }
 
 function demandByLevel (guarantees: readonly Guarantee[]): number[] {
@@ -65,9 +65,9 @@
   return demand
 }
 
-function describeMissing (guarantee: Guarantee, count: number): string {
-  return `guarantee ${guarantee.guaranteeId} asks for ${guarantee.cells} cells of ${guarantee.acceleratorsPerCell} ` +
-    `accelerators ${guarantee.acceleratorModel}, the inventory lacks ${count}`
+function describeShortage (guarantee: Guarantee, count: number): string {
+  return `guarantee ${guarantee.guaranteeId} needs ${guarantee.cells} cells of ${guarantee.acceleratorsPerCell} ` +
+    `accelerators ${guarantee.acceleratorModel}, the inventory cannot provide ${count} of them`
 }
 
 function guaranteesByModel (configuration: Configuration): Map<string, Guarantee[]> {
--- a/packages/placement/src/run-times.ts
+++ b/packages/placement/src/run-times.ts
@@ -1,33 +1,33 @@
-/** Run times learned by class of job. */
+/** Run-time estimates learned by job class. */
 import type { JobSpec } from '@comfreygrade/core'
 import type { PlacementSettings } from './settings.js'
 
-/** Remembers the latest finished runs of each class of each organisation. */
+/** Keeps the run times of the most recent runs of each job class of each organisation. */
 export class RunTimeHistory {
   readonly #settings: PlacementSettings
-  readonly #runs = new Map<string, number[]>()
+  readonly #runsByClass = new Map<string, number[]>()
 
   constructor (settings: PlacementSettings) {
     this.#settings = settings
   }
 
-  /** Records a run that ended by itself. */
+  /** Records a run that ended without failure, cancellation or preemption. */
   record (spec: JobSpec, runMs: number): void {
     const key = classKey(spec)
-    const runs = this.#runs.get(key) ?? []
+    const runs = this.#runsByClass.get(key) ?? []
     runs.push(runMs)
     if (runs.length > this.#settings.runHistoryLength) runs.shift()
-    this.#runs.set(key, runs)
+    this.#runsByClass.set(key, runs)
   }
 
   /**
-   * The learned quantile of a class in milliseconds; undefined until enough runs have finished.
+   * The configured quantile of the recorded run times of a job's class; undefined until enough runs have finished.
    *
    * @example
    * history.learnedMs(spec) ?? spec.declaredRunMs
    */
   learnedMs (spec: JobSpec): number | undefined {
-    const runs = this.#runs.get(classKey(spec))
+    const runs = this.#runsByClass.get(classKey(spec))
     if (runs === undefined || runs.length < this.#settings.runHistoryMin) return undefined
     const sorted = [...runs].sort((left, right) => left - right)
     return sorted[Math.min(sorted.length - 1, Math.floor(sorted.length * this.#settings.runTimeQuantile))]
--- a/packages/placement/src/scheduler.ts
+++ b/packages/placement/src/scheduler.ts
@@ -1,70 +1,71 @@
-/** The gang scheduler: which jobs start where, which leave lent capacity, and which are stopped. */
+/** The gang scheduler: decides which jobs start where, which are preempted, and which are stopped. */
 import {
   type Configuration, type Failure, type JobExplanation, type JobSpec, type Placement, type Rules,
   defaultRules, emptyConfiguration, failure
 } from '@comfreygrade/core'
 import type { FleetReport, PlacementDecision, ReclaimCheck } from './decisions.js'
-import { ExplanationWriter, type ExplainedState } from './explanations.js'
+import { JobExplainer, type ExplainerInput } from './job-explainer.js'
 import { Fleet } from './fleet.js'
 import { buildFleetReport } from './fleet-report.js'
-import { type GangPlan, type JobRecord, createRecord, isReclaimable } from './jobs.js'
-import { OrganisationShares } from './organisations.js'
-import { planOf, placementOf } from './placements.js'
+import { type GangPlan, type JobRecord, createJobRecord, isPreemptible } from './job-record.js'
+import { OrganisationUsage } from './organisations.js'
+import { restorePlan, toPlacement } from './placements.js'
 import { PlanFinder } from './plan-finder.js'
-import { type PlacementPolicy, type WaitingHead, comparePriority } from './policies.js'
+import { type PlacementPolicy, type WaitingOrderKey, comparePriority } from './policies.js'
 import { validateGuarantees } from './reclaim-check.js'
-import { ReservationBook } from './reservation-book.js'
-import { StartForecaster } from './reservations.js'
+import { ReservationTable } from './reservation-table.js'
+import { StartForecaster } from './start-forecaster.js'
 import { RunTimeHistory } from './run-times.js'
 import type { PlacementSettings } from './settings.js'
 import { type GangShape, ShapeTable } from './shapes.js'
 import { Heap, type WaitingGroup, WaitingJobs, type WaitingQueue } from './waiting-jobs.js'
 import { WorkerHealth } from './worker-health.js'
 
-/** A job that runs longer than its estimate is expected to need this share of its time so far once more. */
-const OVERRUN_EXTENSION = 0.5
+/** A job that runs longer than its estimate is expected to run on for this fraction of its elapsed time. */
+const OVERRUN_EXTENSION_FACTOR = 0.5
 const OVERRUN_EXTENSION_MIN_MS = 1_000
 
-/** Outcome of trying one waiting job. */
-type Trial = 'placed' | 'claimed' | 'no_fit' | 'over_quota' | 'stopped'
+/** Result of trying to place a waiting job. */
+type TrialResult = 'placed' | 'claimed' | 'no_fit' | 'over_quota' | 'stopped'
 
 interface QueueEntry {
   readonly group: WaitingGroup
   readonly job: JobRecord
-  readonly head: WaitingHead
+  readonly orderKey: WaitingOrderKey
 }
 
 /**
- * Places gangs under guarantees. All calls are synchronous; decisions take effect in the scheduler's index at once.
+ * Places gangs while keeping all guarantees reclaimable. All calls are synchronous; decisions update the scheduler's
+ * index immediately.
  *
  * @example
  * const scheduler = new GangScheduler(defaultPlacementSettings, new BuddyCellPolicy())
  * scheduler.applyConfiguration(configuration)
  * scheduler.workerJoined('w1', nowMs)
  * scheduler.submit(job, nowMs)
- * for (const decision of scheduler.pass(nowMs)) carryOut(decision)
+ * for (const decision of scheduler.pass(nowMs)) execute(decision)
  */
 export class GangScheduler {
   readonly #settings: PlacementSettings
   readonly #policy: PlacementPolicy
-  readonly #shares: OrganisationShares
-  readonly #history: RunTimeHistory
-  readonly #health: WorkerHealth
+  readonly #usage: OrganisationUsage
+  readonly #runTimes: RunTimeHistory
+  readonly #workerHealth: WorkerHealth
   readonly #jobs = new Map<string, JobRecord>()
-  readonly #joined = new Set<string>()
-  readonly #draining = new Set<string>()
-  /** First job that did not fit, by accelerator model; only where the policy does not backfill. */
-  readonly #blocked = new Map<string, JobRecord>()
+  readonly #joinedWorkerIds = new Set<string>()
+  readonly #drainingWorkerIds = new Set<string>()
+  /** First job that did not fit, by accelerator model; used only if the policy does not backfill. */
+  readonly #blockingJobs = new Map<string, JobRecord>()
   readonly #readyClaims = new Set<JobRecord>()
   readonly #freedModels = new Set<string>()
   readonly #freedOrganisationIds = new Set<string>()
-  readonly #refused = new Map<string, Failure>()
+  readonly #refusals = new Map<string, Failure>()
   #configuration: Configuration = emptyConfiguration()
   #rules: Rules = defaultRules
   #waiting = new WaitingJobs()
   #fleet!: Fleet
   #shapes!: ShapeTable
-  #reservations!: ReservationBook
+  #reservations!: ReservationTable
   #planFinder!: PlanFinder
   #forecaster!: StartForecaster
   #decisions: PlacementDecision[] = []
@@ -73,196 +74,196 @@
   #nowMs = 0
 
   /**
-   * @param settings numbers; see `defaultPlacementSettings`
+   * @param settings for example `defaultPlacementSettings`
    * @param policy `BuddyCellPolicy`, or the baseline `FirstFitPolicy`
    */
   constructor (settings: PlacementSettings, policy: PlacementPolicy) {
     this.#settings = settings
     this.#policy = policy
-    this.#shares = new OrganisationShares(settings.serviceHalfLifeMs)
-    this.#history = new RunTimeHistory(settings)
-    this.#health = new WorkerHealth(settings)
+    this.#usage = new OrganisationUsage(settings.serviceHalfLifeMs)
+    this.#runTimes = new RunTimeHistory(settings)
+    this.#workerHealth = new WorkerHealth(settings)
     this.#buildIndex()
   }
 
   /**
-   * Checks that an inventory can hold its guarantees.
+   * Checks that an inventory can provide its guarantees.
    *
-   * @returns `guarantee_unsatisfiable` with the missing cells, or undefined
+   * @returns `guarantee_unsatisfiable` with the missing cells; undefined if all can be provided
    */
   static validateGuarantees (configuration: Configuration): Failure | undefined {
     return validateGuarantees(configuration)
   }
 
-  /** Takes a configuration into force. Running jobs stay; the index is rebuilt where cells or guarantees change. */
+  /** Activates a configuration. Running jobs stay; the index is rebuilt if the workers or guarantees changed. */
   applyConfiguration (configuration: Configuration): void {
     const before = this.#configuration
     this.#configuration = configuration
     this.#rules = configuration.rules
-    this.#shares.configure(configuration.organisations)
-    const isSameIndex = before.workers === configuration.workers && before.guarantees === configuration.guarantees
-    if (!isSameIndex) this.#rebuildIndex()
+    this.#usage.configure(configuration.organisations)
+    const isIndexUnchanged = before.workers === configuration.workers && before.guarantees === configuration.guarantees
+    if (!isIndexUnchanged) this.#rebuildIndex()
     for (const organisationId of configuration.organisations.keys()) this.#freedOrganisationIds.add(organisationId)
   }
 
-  /** A worker joined; it takes part once it is also in the configuration. */
+  /** Records that a worker joined; it gets tasks once it is also in the configuration. */
   workerJoined (workerId: string, nowMs: number): void {
-    this.#advance(nowMs)
-    this.#joined.add(workerId)
+    this.#advanceClock(nowMs)
+    this.#joinedWorkerIds.add(workerId)
     this.#refreshWorker(workerId)
   }
 
-  /** A worker was lost; its jobs stay until `ended` or `reclaimed` is called for them. */
+  /** Records that a worker was lost. Its jobs keep their cells until `ended` or `reclaimed` is called for them. */
   workerLost (workerId: string, nowMs: number): void {
-    this.#advance(nowMs)
-    this.#joined.delete(workerId)
+    this.#advanceClock(nowMs)
+    this.#joinedWorkerIds.delete(workerId)
     this.#refreshWorker(workerId)
   }
 
-  /** The worker gets no new tasks; running ones stay. */
+  /** Drains a worker: it gets no new tasks, running tasks stay. */
   drainWorker (workerId: string): void {
-    this.#draining.add(workerId)
+    this.#drainingWorkerIds.add(workerId)
     this.#refreshWorker(workerId)
   }
 
   /** Ends a drain. */
   undrainWorker (workerId: string): void {
-    this.#draining.delete(workerId)
+    this.#drainingWorkerIds.delete(workerId)
     this.#refreshWorker(workerId)
   }
 
   /**
-   * Adds a job to the waiting ones.
+   * Adds a job to the waiting jobs.
    *
-   * @returns `unknown_organisation`, `impossible_shape`, `quota_exceeded` or `job_exists`; undefined where it waits now
+   * @returns `unknown_organisation`, `impossible_shape`, `quota_exceeded` or `job_exists`; undefined if it was accepted
    */
   submit (spec: JobSpec, nowMs: number): Failure | undefined {
-    this.#advance(nowMs)
-    const shape = this.#shapes.of(spec)
-    const refusal = this.#refusal(spec, shape)
+    this.#advanceClock(nowMs)
+    const shape = this.#shapes.shapeOf(spec)
+    const refusal = this.#checkAdmission(spec, shape)
     if (refusal === undefined) {
-      this.#enqueue(createRecord(spec, shape, this.#nextSequence++, nowMs))
+      this.#enqueue(createJobRecord(spec, shape, this.#nextSequence++, nowMs))
       return undefined
     }
-    if (refusal.kind !== 'job_exists') this.#remember(spec.jobId, refusal)
+    if (refusal.kind !== 'job_exists') this.#recordRefusal(spec.jobId, refusal)
     return refusal
   }
 
-  /** Puts back a job that runs, after a change of leader. */
+  /** Restores a running job from its recorded placement after a leader change. */
   restore (spec: JobSpec, placement: Placement, startedMs: number): void {
-    const job = createRecord(spec, this.#shapes.of(spec), this.#nextSequence++, startedMs)
+    const job = createJobRecord(spec, this.#shapes.shapeOf(spec), this.#nextSequence++, startedMs)
     job.startedMs = startedMs
     job.placement = placement
     this.#jobs.set(spec.jobId, job)
-    this.#seat(job)
+    this.#indexPlacedJob(job)
   }
 
-  /** Ends a waiting job at once; a placed one keeps its cells until `ended`. */
+  /** Removes a waiting job immediately; a placed job keeps its cells until `ended` or `reclaimed`. */
   cancel (jobId: string, nowMs: number): void {
-    this.#advance(nowMs)
+    this.#advanceClock(nowMs)
     const job = this.#jobs.get(jobId)
     if (job === undefined) return
-    if (job.state === 'placed') job.isLeaving = true
-    else this.#withdraw(job)
+    if (job.state === 'placed') job.isTerminating = true
+    else this.#removeUnplaced(job)
   }
 
-  /** A task failed on a worker. The job keeps its cells until `ended` or `reclaimed`. */
+  /** Records that a task failed on a worker. The job keeps its cells until `ended` or `reclaimed`. */
   taskFailed (jobId: string, workerId: string, nowMs: number): void {
-    this.#advance(nowMs)
+    this.#advanceClock(nowMs)
     const job = this.#jobs.get(jobId)
-    if (job === undefined || job.isLeaving) return
+    if (job === undefined || job.isTerminating) return
     const isWaiting = job.group !== undefined
     if (isWaiting) this.#waiting.remove(job)
     job.hasFailedTask = true
     job.failedWorkerIds.add(workerId)
     if (isWaiting) this.#waiting.add(job)
-    if (this.#health.failed(workerId, jobId, nowMs)) this.#refreshWorker(workerId)
+    if (this.#workerHealth.recordFailure(workerId, jobId, nowMs)) this.#refreshWorker(workerId)
     if (job.failedWorkerIds.size < this.#settings.maxFailedPlacements) return
     this.#stop(job, `tasks failed on ${job.failedWorkerIds.size} different workers`)
   }
 
-  /** All leases of the job are released; its cells are free. */
+  /** Frees the cells of a job whose leases have all been released. */
   ended (jobId: string, nowMs: number): void {
-    this.#advance(nowMs)
+    this.#advanceClock(nowMs)
     const job = this.#jobs.get(jobId)
     if (job === undefined) return
     if (job.state !== 'placed') {
-      this.#withdraw(job)
+      this.#removeUnplaced(job)
       return
     }
-    if (!job.hasFailedTask && !job.isLeaving && !job.isReclaiming) this.#learn(job, nowMs)
+    if (!job.hasFailedTask && !job.isTerminating && !job.isBeingPreempted) this.#recordSuccess(job, nowMs)
     this.#vacate(job)
     this.#jobs.delete(jobId)
   }
 
-  /** A job that was asked to leave, or whose gang has to start again, has left its cells and waits. */
+  /** Requeues a job that has vacated its cells after preemption, or whose gang has to restart. */
   reclaimed (jobId: string, nowMs: number): void {
-    this.#advance(nowMs)
+    this.#advanceClock(nowMs)
     const job = this.#jobs.get(jobId)
     if (job === undefined || job.state !== 'placed') return
     this.#vacate(job)
-    if (job.isLeaving) {
+    if (job.isTerminating) {
       this.#jobs.delete(jobId)
       return
     }
     this.#enqueue(job)
   }
 
-  /** One scheduling pass: places what fits and asks lent jobs to leave where guarantees or urgent jobs need it. */
+  /** Runs a scheduling pass: places waiting jobs, and preempts jobs on lent capacity for guarantees or urgent jobs. */
   pass (nowMs: number): PlacementDecision[] {
-    this.#advance(nowMs)
-    for (const workerId of this.#health.release(nowMs)) this.#refreshWorker(workerId)
+    this.#advanceClock(nowMs)
+    for (const workerId of this.#workerHealth.endExpiredQuarantines(nowMs)) this.#refreshWorker(workerId)
     this.#placeReadyClaims()
     const freedModels = new Set(this.#freedModels)
     this.#freedModels.clear()
-    this.#reopen(freedModels)
-    this.#serveQueue(freedModels)
+    this.#reopenGroups(freedModels)
+    this.#tryWaitingJobs(freedModels)
     const decisions = this.#decisions
     this.#decisions = []
     return decisions
   }
 
-  /** Why a job waits, on whom, and for how long; or how it was placed or refused. */
+  /** Explains why a job waits, which jobs block it and when it may start; or how it was placed or refused. */
   explain (jobId: string, nowMs: number): JobExplanation {
-    this.#advance(nowMs)
-    return new ExplanationWriter(this.#explainedState()).explain(jobId, nowMs)
+    this.#advanceClock(nowMs)
+    return new JobExplainer(this.#explainerInput()).explain(jobId, nowMs)
   }
 
-  /** State of the fleet for operators. */
+  /** Summarises the fleet for operators. */
   report (): FleetReport {
-    return this.#reservations.without(() => buildFleetReport({
+    return this.#reservations.withoutReservations(() => buildFleetReport({
       fleet: this.#fleet,
       jobs: [...this.#jobs.values()],
       waitingJobs: this.#waiting.size,
-      quarantinedWorkerIds: this.#health.quarantinedWorkerIds(),
-      drainingWorkerIds: [...this.#draining].sort(),
+      quarantinedWorkerIds: this.#workerHealth.quarantinedWorkerIds(),
+      drainingWorkerIds: [...this.#drainingWorkerIds].sort(),
       lostWorkerIds: this.#lostWorkerIds()
     }))
   }
 
-  /** Whether all organisations could claim their guarantees at once. */
+  /** Checks that all organisations could use their whole guarantees at the same time. */
   checkReclaimable (): ReclaimCheck {
-    return this.#fleet.ledger.check()
+    return this.#fleet.guarantees.check()
   }
 
-  #advance (nowMs: number): void {
+  #advanceClock (nowMs: number): void {
     this.#nowMs = Math.max(this.#nowMs, nowMs)
   }
 
-  #refusal (spec: JobSpec, shape: GangShape): Failure | undefined {
+  #checkAdmission (spec: JobSpec, shape: GangShape): Failure | undefined {
     const { organisationId, tasks } = spec
-    if (this.#jobs.has(spec.jobId)) return failure('job_exists', `job ${spec.jobId} exists`)
-    if (!this.#shares.has(organisationId)) {
+    if (this.#jobs.has(spec.jobId)) return failure('job_exists', `job ${spec.jobId} already exists`)
+    if (!this.#usage.has(organisationId)) {
       return failure('unknown_organisation', `organisation ${organisationId} is not in the configuration`)
     }
     if (!(tasks >= 1) || tasks > this.#rules.maxGangTasks) {
-      return failure('impossible_shape', `${tasks} tasks were asked for, 1 to ${this.#rules.maxGangTasks} are allowed`)
+      return failure('impossible_shape', `the job has ${tasks} tasks, 1 to ${this.#rules.maxGangTasks} are allowed`)
     }
-    if (!shape.isPossible) return failure('impossible_shape', describeImpossible(spec))
-    const quota = this.#shares.quota(organisationId)
+    if (!shape.isPossible) return failure('impossible_shape', describeImpossibleShape(spec))
+    const quota = this.#usage.quota(organisationId)
     if (shape.accelerators <= quota) return undefined
     return failure('quota_exceeded',
-      `the job holds ${shape.accelerators} accelerators, the quota of ${organisationId} is ${quota}`)
+      `the job needs ${shape.accelerators} accelerators, the quota of organisation ${organisationId} is ${quota}`)
   }
 
   #enqueue (job: JobRecord): void {
@@ -276,7 +277,7 @@
   #buildIndex (): void {
     this.#fleet = new Fleet(this.#configuration)
     this.#shapes = new ShapeTable(this.#fleet.tree)
-    this.#reservations = new ReservationBook(this.#fleet)
+    this.#reservations = new ReservationTable(this.#fleet)
     this.#planFinder = new PlanFinder(this.#fleet, this.#settings, this.#policy, this.#reservations,
       spec => this.#estimateRunMs(spec))
     this.#forecaster = new StartForecaster(this.#fleet, this.#settings, job => this.#estimatedEndMs(job))
@@ -284,38 +285,39 @@
   }
 
   #rebuildIndex (): void {
-    for (const job of this.#jobs.values()) if (job.state === 'claiming') this.#dropClaim(job)
-    this.#blocked.clear()
+    for (const job of this.#jobs.values()) if (job.state === 'claiming') this.#releaseClaim(job)
+    this.#blockingJobs.clear()
     this.#buildIndex()
     this.#waiting = new WaitingJobs()
     for (const job of this.#jobs.values()) {
-      job.shape = this.#shapes.of(job.spec)
+      job.shape = this.#shapes.shapeOf(job.spec)
       if (job.state === 'waiting') this.#waiting.add(job)
-      else this.#reseat(job)
+      else this.#reindexPlacedJob(job)
     }
   }
 
-  #reseat (job: JobRecord): void {
-    this.#shares.change(job.spec.organisationId, -job.heldAccelerators, this.#nowMs)
-    this.#seat(job)
+  #reindexPlacedJob (job: JobRecord): void {
+    this.#usage.addInUse(job.spec.organisationId, -job.heldAccelerators, this.#nowMs)
+    this.#indexPlacedJob(job)
   }
 
-  #seat (job: JobRecord): void {
+  #indexPlacedJob (job: JobRecord): void {
     const placement = job.placement!
     job.state = 'placed'
-    job.plan = planOf(this.#fleet, job.spec, placement)
+    job.plan = restorePlan(this.#fleet, job.spec, placement)
     job.heldAccelerators = placement.tasks.reduce((sum, task) => sum + task.acceleratorCount, 0)
     this.#fleet.occupy(job, job.plan)
-    this.#shares.change(job.spec.organisationId, job.heldAccelerators, this.#nowMs)
+    this.#usage.addInUse(job.spec.organisationId, job.heldAccelerators, this.#nowMs)
   }
 
   #isUsable (workerId: string): boolean {
-    return this.#joined.has(workerId) && !this.#draining.has(workerId) && !this.#health.isQuarantined(workerId)
+    return this.#joinedWorkerIds.has(workerId) && !this.#drainingWorkerIds.has(workerId) &&
+      !this.#workerHealth.isQuarantined(workerId)
   }
 
   #lostWorkerIds (): string[] {
     const ids = this.#fleet.tree.workers.map(worker => worker.workerId)
-    return ids.filter(workerId => !this.#joined.has(workerId) || this.#health.isQuarantined(workerId))
+    return ids.filter(workerId => !this.#joinedWorkerIds.has(workerId) || this.#workerHealth.isQuarantined(workerId))
   }
 
   #refreshWorker (workerId: string): void {
@@ -325,120 +327,122 @@
     this.#fleet.setAvailable(workerId, isUsable)
     this.#freedModels.add(worker.acceleratorModel)
     if (isUsable) return
-    for (const job of this.#fleet.claimsOnWorker(workerId)) this.#requeueClaim(job)
+    for (const job of this.#fleet.claimantsOnWorker(workerId)) this.#requeueClaim(job)
   }
 
-  // Waiting order
+  // Queue
 
-  #reopen (freedModels: ReadonlySet<string>): void {
+  #reopenGroups (freedModels: ReadonlySet<string>): void {
     if (freedModels.size === 0 && this.#freedOrganisationIds.size === 0) return
     for (const model of freedModels) {
-      this.#planFinder.freed(model)
-      this.#blocked.delete(model)
+      this.#planFinder.capacityFreed(model)
+      this.#blockingJobs.delete(model)
     }
     this.#waiting.reopen(freedModels, this.#freedOrganisationIds)
     this.#freedOrganisationIds.clear()
   }
 
-  /** The holder of a reservation goes before its priority, so that new jobs of other organisations do not starve it. */
-  #headOf (job: JobRecord): WaitingHead {
+  /** A reservation holder comes first within its priority, so that new jobs of other organisations do not starve it. */
+  #orderKeyOf (job: JobRecord): WaitingOrderKey {
     const { priority, organisationId } = job.spec
-    const share = this.#reservations.isHolder(job) ? -Infinity : this.#shares.share(organisationId, this.#nowMs)
-    return { priority, sequence: job.sequence, share }
+    const attainedShare = this.#reservations.hasReservation(job)
+      ? -Infinity
+      : this.#usage.attainedShare(organisationId, this.#nowMs)
+    return { priority, sequence: job.sequence, attainedShare }
   }
 
-  #serveQueue (freedModels: ReadonlySet<string>): void {
-    const queue = new Heap<QueueEntry>((left, right) => this.#policy.compareWaiting(left.head, right.head))
-    for (const [model, { job, calculatedMs }] of this.#reservations.all) {
+  #tryWaitingJobs (freedModels: ReadonlySet<string>): void {
+    const queue = new Heap<QueueEntry>((left, right) => this.#policy.compareWaiting(left.orderKey, right.orderKey))
+    for (const [model, { job, calculatedMs }] of this.#reservations.byModel) {
       const isDue = this.#nowMs - calculatedMs >= this.#settings.reservationRefreshMs
       if (isDue || freedModels.has(model)) queue.push(this.#entryOf(job))
     }
-    for (const waiting of this.#waiting.queues) this.#serveNext(queue, waiting)
+    for (const waiting of this.#waiting.queues) this.#pushNextOpen(queue, waiting)
     this.#failedTrials = 0
     for (let entry = queue.pop(); entry !== undefined; entry = queue.pop()) {
       if (this.#failedTrials >= this.#settings.maxFailedTrials) break
-      this.#serveEntry(queue, entry)
+      this.#processEntry(queue, entry)
     }
   }
 
   #entryOf (job: JobRecord): QueueEntry {
-    return { group: job.group!, job, head: this.#headOf(job) }
+    return { group: job.group!, job, orderKey: this.#orderKeyOf(job) }
   }
 
-  /** The share of an organisation grows while its jobs are placed, so an entry may have to go back. */
-  #serveEntry (queue: Heap<QueueEntry>, { group, job, head }: QueueEntry): void {
+  /** Placing jobs raises the attained share of their organisation, so an entry may have to be queued again. */
+  #processEntry (queue: Heap<QueueEntry>, { group, job, orderKey }: QueueEntry): void {
     if (job.group !== group) {
-      this.#serveNext(queue, group.queue)
+      this.#pushNextOpen(queue, group.queue)
       return
     }
-    const current = this.#headOf(job)
-    if (this.#policy.compareWaiting(current, head) > 0) queue.push({ group, job, head: current })
-    else if (this.#isBlocked(job, current)) this.#skip(queue, group)
-    else this.#serveJob(queue, group, job)
+    const current = this.#orderKeyOf(job)
+    if (this.#policy.compareWaiting(current, orderKey) > 0) queue.push({ group, job, orderKey: current })
+    else if (this.#isBlocked(job, current)) this.#skipGroup(queue, group)
+    else this.#scheduleJob(queue, group, job)
   }
 
-  /** The groups of a blocked model open again when its capacity is freed, as the block ends then. */
-  #skip (queue: Heap<QueueEntry>, group: WaitingGroup): void {
+  /** Closes a group of a blocked model; it reopens when capacity of the model is freed, which also ends the block. */
+  #skipGroup (queue: Heap<QueueEntry>, group: WaitingGroup): void {
     this.#waiting.close(group)
-    this.#serveNext(queue, group.queue)
+    this.#pushNextOpen(queue, group.queue)
   }
 
-  #serveJob (queue: Heap<QueueEntry>, group: WaitingGroup, job: JobRecord): void {
+  #scheduleJob (queue: Heap<QueueEntry>, group: WaitingGroup, job: JobRecord): void {
     const isFirst = group.first === job
-    const trial = this.#reservations.isHolder(job) ? this.#tryHolder(job) : this.#try(job)
-    if (trial === 'no_fit') this.#notFit(job)
-    if (trial === 'no_fit' || trial === 'over_quota') {
+    const result = this.#reservations.hasReservation(job) ? this.#tryReservationHolder(job) : this.#tryJob(job)
+    if (result === 'no_fit') this.#handleNoFit(job)
+    if (result === 'no_fit' || result === 'over_quota') {
       this.#failedTrials += 1
       if (isFirst) this.#waiting.close(group)
     }
-    this.#serveNext(queue, group.queue)
+    this.#pushNextOpen(queue, group.queue)
   }
 
-  #serveNext (queue: Heap<QueueEntry>, waiting: WaitingQueue): void {
+  #pushNextOpen (queue: Heap<QueueEntry>, waiting: WaitingQueue): void {
     const group = waiting.firstOpen()
     if (group !== undefined) queue.push(this.#entryOf(group.first!))
   }
 
-  #isBlocked (job: JobRecord, head: WaitingHead): boolean {
-    const blocking = this.#blocked.get(job.spec.acceleratorModel)
-    return blocking !== undefined && this.#policy.compareWaiting(head, this.#headOf(blocking)) > 0
+  #isBlocked (job: JobRecord, orderKey: WaitingOrderKey): boolean {
+    const blocking = this.#blockingJobs.get(job.spec.acceleratorModel)
+    return blocking !== undefined && this.#policy.compareWaiting(orderKey, this.#orderKeyOf(blocking)) > 0
   }
 
-  #notFit (job: JobRecord): void {
+  #handleNoFit (job: JobRecord): void {
     const model = job.spec.acceleratorModel
     if (!this.#policy.backfills()) {
-      this.#blocked.set(model, job)
+      this.#blockingJobs.set(model, job)
       return
     }
-    const holder = this.#reservations.of(model)?.job
+    const holder = this.#reservations.forModel(model)?.job
     if (holder === job) return
     if (holder !== undefined && comparePriority(job.spec.priority, holder.spec.priority) >= 0) return
-    this.#dropReservation(model)
+    this.#cancelReservation(model)
     this.#reserve(job)
   }
 
-  // Trying one job
+  // Trying a job
 
-  #try (job: JobRecord): Trial {
+  #tryJob (job: JobRecord): TrialResult {
     const { organisationId } = job.spec
-    const room = this.#shares.quota(organisationId) - this.#shares.inUse(organisationId)
-    if (job.shape.accelerators > room) return 'over_quota'
+    const remainingQuota = this.#usage.quota(organisationId) - this.#usage.inUse(organisationId)
+    if (job.shape.accelerators > remainingQuota) return 'over_quota'
     const plan = job.failedWorkerIds.size === 0
-      ? this.#planFinder.find(job, room, this.#nowMs)
-      : this.#fleet.without(job.failedWorkerIds, () => this.#planFinder.find(job, room, this.#nowMs))
-    if (plan === undefined) return this.#stopWhereNoWorkerIsLeft(job) ? 'stopped' : 'no_fit'
-    this.#carryOut(job, plan)
+      ? this.#planFinder.find(job, remainingQuota, this.#nowMs)
+      : this.#fleet.withoutWorkers(job.failedWorkerIds, () => this.#planFinder.find(job, remainingQuota, this.#nowMs))
+    if (plan === undefined) return this.#stopIfNoWorkerRemains(job) ? 'stopped' : 'no_fit'
+    this.#commitPlan(job, plan)
     return plan.victims.size === 0 ? 'placed' : 'claimed'
   }
 
   // Decisions
 
-  #carryOut (job: JobRecord, plan: GangPlan): void {
+  #commitPlan (job: JobRecord, plan: GangPlan): void {
     this.#waiting.remove(job)
-    if (this.#reservations.isHolder(job)) this.#dropReservation(job.spec.acceleratorModel)
+    if (this.#reservations.hasReservation(job)) this.#cancelReservation(job.spec.acceleratorModel)
     job.plan = plan
     job.heldAccelerators = this.#fleet.acceleratorsOf(plan.cells)
-    this.#shares.change(job.spec.organisationId, job.heldAccelerators, this.#nowMs)
+    this.#usage.addInUse(job.spec.organisationId, job.heldAccelerators, this.#nowMs)
     if (plan.victims.size === 0) this.#place(job, plan)
     else this.#claim(job, plan)
   }
@@ -448,7 +452,7 @@
     job.state = 'placed'
     job.startedMs = this.#nowMs
     job.hasFailedTask = false
-    job.placement = placementOf(this.#fleet.tree, plan)
+    job.placement = toPlacement(this.#fleet.tree, plan)
     this.#decisions.push({ kind: 'place', jobId: job.spec.jobId, placement: job.placement })
   }
 
@@ -457,13 +461,13 @@
     this.#fleet.claim(job, plan)
     for (const victim of plan.victims) {
       victim.claimants.add(job)
-      job.waitsFor.add(victim)
-      if (!victim.isReclaiming && !victim.isLeaving) this.#askToLeave(victim, job, plan)
+      job.pendingVictims.add(victim)
+      if (!victim.isBeingPreempted && !victim.isTerminating) this.#preempt(victim, job, plan)
     }
   }
 
-  #askToLeave (victim: JobRecord, claimant: JobRecord, plan: GangPlan): void {
-    victim.isReclaiming = true
+  #preempt (victim: JobRecord, claimant: JobRecord, plan: GangPlan): void {
+    victim.isBeingPreempted = true
     this.#decisions.push({
       kind: 'reclaim',
       jobId: victim.spec.jobId,
@@ -477,151 +481,151 @@
     for (const job of this.#readyClaims) {
       const plan = job.plan!
       this.#place(job, plan)
-      // The claim ends after the job has its cells, so that the bindings are never without a user.
-      this.#fleet.unclaim(plan)
+      // Released only after the job occupies the cells: a binding without users would be released.
+      this.#fleet.releaseClaim(plan)
     }
     this.#readyClaims.clear()
   }
 
-  #dropClaim (job: JobRecord): void {
-    this.#fleet.unclaim(job.plan!)
-    for (const victim of job.waitsFor) victim.claimants.delete(job)
-    job.waitsFor.clear()
+  #releaseClaim (job: JobRecord): void {
+    this.#fleet.releaseClaim(job.plan!)
+    for (const victim of job.pendingVictims) victim.claimants.delete(job)
+    job.pendingVictims.clear()
     this.#readyClaims.delete(job)
-    this.#release(job)
+    this.#releaseCapacity(job)
     job.state = 'waiting'
   }
 
   #requeueClaim (job: JobRecord): void {
-    this.#dropClaim(job)
+    this.#releaseClaim(job)
     this.#waiting.add(job)
   }
 
   #vacate (job: JobRecord): void {
     this.#fleet.vacate(job, job.plan!)
-    this.#release(job)
+    this.#releaseCapacity(job)
     job.placement = undefined
-    job.isReclaiming = false
+    job.isBeingPreempted = false
     for (const claimant of job.claimants) {
-      claimant.waitsFor.delete(job)
-      if (claimant.waitsFor.size === 0) this.#readyClaims.add(claimant)
+      claimant.pendingVictims.delete(job)
+      if (claimant.pendingVictims.size === 0) this.#readyClaims.add(claimant)
     }
     job.claimants.clear()
   }
 
-  #release (job: JobRecord): void {
-    this.#shares.change(job.spec.organisationId, -job.heldAccelerators, this.#nowMs)
+  #releaseCapacity (job: JobRecord): void {
+    this.#usage.addInUse(job.spec.organisationId, -job.heldAccelerators, this.#nowMs)
     job.heldAccelerators = 0
     job.plan = undefined
     this.#freedModels.add(job.spec.acceleratorModel)
     this.#freedOrganisationIds.add(job.spec.organisationId)
   }
 
-  #withdraw (job: JobRecord): void {
+  #removeUnplaced (job: JobRecord): void {
     const model = job.spec.acceleratorModel
-    if (job.state === 'claiming') this.#dropClaim(job)
+    if (job.state === 'claiming') this.#releaseClaim(job)
     this.#waiting.remove(job)
-    if (this.#reservations.isHolder(job)) this.#dropReservation(model)
-    if (this.#blocked.get(model) === job) this.#freedModels.add(model)
+    if (this.#reservations.hasReservation(job)) this.#cancelReservation(model)
+    if (this.#blockingJobs.get(model) === job) this.#freedModels.add(model)
     this.#jobs.delete(job.spec.jobId)
   }
 
   #stop (job: JobRecord, detail: string): void {
     const cause = failure('backend_failed', `job ${job.spec.jobId} was stopped: ${detail}`)
-    job.isLeaving = true
+    job.isTerminating = true
     this.#decisions.push({ kind: 'stop', jobId: job.spec.jobId, failure: cause })
-    this.#remember(job.spec.jobId, cause)
+    this.#recordRefusal(job.spec.jobId, cause)
     for (const workerId of job.failedWorkerIds) {
-      if (this.#health.forgive(workerId, job.spec.jobId)) this.#refreshWorker(workerId)
+      if (this.#workerHealth.retractFailure(workerId, job.spec.jobId)) this.#refreshWorker(workerId)
     }
-    if (job.state !== 'placed') this.#withdraw(job)
+    if (job.state !== 'placed') this.#removeUnplaced(job)
   }
 
-  #stopWhereNoWorkerIsLeft (job: JobRecord): boolean {
-    if (job.failedWorkerIds.size === 0 || !this.#canStart(job)) return false
-    if (this.#fleet.without(job.failedWorkerIds, () => this.#canStart(job))) return false
-    this.#stop(job, `tasks failed on ${[...job.failedWorkerIds].join(', ')}, no other working worker can hold the gang`)
+  #stopIfNoWorkerRemains (job: JobRecord): boolean {
+    if (job.failedWorkerIds.size === 0 || !this.#canFitEventually(job)) return false
+    if (this.#fleet.withoutWorkers(job.failedWorkerIds, () => this.#canFitEventually(job))) return false
+    this.#stop(job, `tasks failed on ${[...job.failedWorkerIds].join(', ')}, no other available workers can hold the gang`)
     return true
   }
 
-  #canStart (job: JobRecord): boolean {
+  #canFitEventually (job: JobRecord): boolean {
     return this.#forecaster.forecast(job.shape, this.#nowMs, () => true) !== undefined
   }
 
-  #remember (jobId: string, cause: Failure): void {
-    this.#refused.delete(jobId)
-    this.#refused.set(jobId, cause)
-    if (this.#refused.size <= this.#settings.explainHistoryLength) return
-    const [oldest] = this.#refused.keys()
-    this.#refused.delete(oldest!)
+  #recordRefusal (jobId: string, cause: Failure): void {
+    this.#refusals.delete(jobId)
+    this.#refusals.set(jobId, cause)
+    if (this.#refusals.size <= this.#settings.explainHistoryLength) return
+    const [oldest] = this.#refusals.keys()
+    this.#refusals.delete(oldest!)
   }
 
   // Reservations
 
-  /** Tries a job in its reserved and all other free cells; otherwise keeps or recalculates the reservation. */
-  #tryHolder (job: JobRecord): Trial {
+  /** Tries a job in its reserved and all other free cells; keeps or recalculates the reservation if it does not fit. */
+  #tryReservationHolder (job: JobRecord): TrialResult {
     const model = job.spec.acceleratorModel
-    const reservation = this.#reservations.drop(model)!
-    this.#planFinder.freed(model)
-    const trial = this.#try(job)
-    if (trial !== 'no_fit') {
+    const reservation = this.#reservations.remove(model)!
+    this.#planFinder.capacityFreed(model)
+    const result = this.#tryJob(job)
+    if (result !== 'no_fit') {
       this.#freedModels.add(model)
-      return trial
+      return result
     }
     if (this.#nowMs - reservation.calculatedMs >= this.#settings.reservationRefreshMs) this.#reserve(job)
-    else this.#reservations.keep(reservation)
-    return trial
+    else this.#reservations.add(reservation)
+    return result
   }
 
   #reserve (job: JobRecord): void {
     const { spec, shape } = job
-    const isFirm = this.#policy.usesGuarantees() && !isReclaimable(spec)
-    const accepts = (cell: number) => !isFirm || this.#fleet.held.isFree(cell)
-    const forecast = this.#fleet.without(job.failedWorkerIds, () =>
-      this.#forecaster.forecast(shape, this.#nowMs, accepts))
+    const isNonPreemptible = this.#policy.usesGuarantees() && !isPreemptible(spec)
+    const isUsable = (cell: number) => !isNonPreemptible || this.#fleet.committed.isFree(cell)
+    const forecast = this.#fleet.withoutWorkers(job.failedWorkerIds, () =>
+      this.#forecaster.forecast(shape, this.#nowMs, isUsable))
     if (forecast === undefined) return
-    this.#reservations.keep({ ...forecast, job, calculatedMs: this.#nowMs })
+    this.#reservations.add({ ...forecast, job, calculatedMs: this.#nowMs })
   }
 
-  #dropReservation (model: string): void {
-    if (this.#reservations.drop(model) !== undefined) this.#freedModels.add(model)
+  #cancelReservation (model: string): void {
+    if (this.#reservations.remove(model) !== undefined) this.#freedModels.add(model)
   }
 
   // Estimates
 
   #estimateRunMs (spec: JobSpec): number {
-    return this.#policy.estimateRunMs(spec, this.#history.learnedMs(spec))
+    return this.#policy.estimateRunMs(spec, this.#runTimes.learnedMs(spec))
   }
 
   #estimatedEndMs (job: JobRecord): number {
     const estimateMs = this.#estimateRunMs(job.spec)
     if (job.state !== 'placed') return this.#nowMs + estimateMs
-    if (job.isReclaiming) return this.#nowMs + this.#rules.reclaimWithinMs
+    if (job.isBeingPreempted) return this.#nowMs + this.#rules.reclaimWithinMs
     const elapsedMs = this.#nowMs - job.startedMs
     if (elapsedMs < estimateMs) return job.startedMs + estimateMs
-    return this.#nowMs + Math.max(OVERRUN_EXTENSION_MIN_MS, elapsedMs * OVERRUN_EXTENSION)
+    return this.#nowMs + Math.max(OVERRUN_EXTENSION_MIN_MS, elapsedMs * OVERRUN_EXTENSION_FACTOR)
   }
 
-  #learn (job: JobRecord, nowMs: number): void {
-    this.#history.record(job.spec, nowMs - job.startedMs)
-    for (const task of job.placement!.tasks) this.#health.succeeded(task.workerId)
+  #recordSuccess (job: JobRecord, nowMs: number): void {
+    this.#runTimes.record(job.spec, nowMs - job.startedMs)
+    for (const task of job.placement!.tasks) this.#workerHealth.recordSuccess(task.workerId)
   }
 
-  #explainedState (): ExplainedState {
+  #explainerInput (): ExplainerInput {
     return {
       jobs: this.#jobs,
-      refused: this.#refused,
-      shares: this.#shares,
-      reservations: this.#reservations.all,
+      refusals: this.#refusals,
+      usage: this.#usage,
+      reservationsByModel: this.#reservations.byModel,
       forecaster: this.#forecaster,
       reclaimWithinMs: this.#rules.reclaimWithinMs,
-      compareWaiting: (left, right) => this.#policy.compareWaiting(this.#headOf(left), this.#headOf(right)),
-      endOf: job => this.#estimatedEndMs(job)
+      compareWaiting: (left, right) => this.#policy.compareWaiting(this.#orderKeyOf(left), this.#orderKeyOf(right)),
+      estimatedEndMs: job => this.#estimatedEndMs(job)
     }
   }
 }
 
-function describeImpossible (spec: JobSpec): string {
-  return `no inventory cells hold ${spec.tasks} tasks of ${spec.acceleratorsPerTask} accelerators ` +
+function describeImpossibleShape (spec: JobSpec): string {
+  return `the inventory cannot hold ${spec.tasks} tasks of ${spec.acceleratorsPerTask} accelerators ` +
     `${spec.acceleratorModel}, ${spec.coresPerTask} cores and ${spec.memoryGbPerTask} GB with adjacency ${spec.adjacency}`
 }
--- a/packages/placement/src/settings.ts
+++ b/packages/placement/src/settings.ts
@@ -1,30 +1,30 @@
-/** Numbers that steer placement. */
+/** Settings of the gang scheduler and their defaults. */
 
-/** Settings of the gang scheduler; every number has a default in {@link defaultPlacementSettings}. */
+/** Settings of the gang scheduler; see {@link defaultPlacementSettings}. */
 export interface PlacementSettings {
-  /** Failures of different jobs after which a worker is quarantined. */
+  /** Number of different jobs whose tasks must fail on a worker for the worker to be quarantined. */
   readonly quarantineAfterFailures: number
-  /** First time in quarantine, in milliseconds; each further quarantine doubles it. */
+  /** Duration of the first quarantine of a worker, in milliseconds; it doubles with each further one. */
   readonly quarantineRetryMs: number
-  /** Longest time in quarantine, in milliseconds. */
+  /** Longest duration of a quarantine, in milliseconds. */
   readonly quarantineRetryMaxMs: number
-  /** Different workers on which a job may fail before it is stopped. */
+  /** Number of different workers on which tasks of a job must fail for the job to be stopped. */
   readonly maxFailedPlacements: number
-  /** Time in which an organisation's past use counts half, in milliseconds. */
+  /** Half-life of an organisation's past use in its attained service, in milliseconds. */
   readonly serviceHalfLifeMs: number
-  /** Finished runs of a class that are remembered. */
+  /** Number of most recent run times kept for each job class. */
   readonly runHistoryLength: number
-  /** Finished runs of a class below which the declaration is used. */
+  /** Minimum number of finished runs of a job class for its run-time estimate to replace the declared run time. */
   readonly runHistoryMin: number
-  /** Quantile, 0 to 1, of a class's finished runs that serves as its estimate. */
+  /** Quantile, 0 to 1, of the run times of a job class that is used as its estimate. */
   readonly runTimeQuantile: number
-  /** Shortest time between two calculations of the same start-time reservation, in milliseconds. */
+  /** Minimum time between two calculations of the same start-time reservation, in milliseconds. */
   readonly reservationRefreshMs: number
-  /** Groups of waiting jobs that are tried in vain before a pass ends; bounds the time of a pass with a deep queue. */
+  /** Number of failed placement attempts after which a pass ends; bounds the duration of a pass over a long queue. */
   readonly maxFailedTrials: number
-  /** Racks that are compared when cells have to be reclaimed or reserved; bounds the cost of one decision. */
+  /** Number of racks compared when cells are reclaimed or reserved; bounds the cost of one decision. */
   readonly candidateRacks: number
-  /** Refused and stopped jobs whose reason `explain` still knows. */
+  /** Number of refused and stopped jobs whose reason is kept for `explain`. */
   readonly explainHistoryLength: number
 }
 
--- a/packages/placement/src/shapes.ts
+++ b/packages/placement/src/shapes.ts
@@ -1,30 +1,33 @@
-/** Shapes of gangs: which cells the tasks of a job need in each pool, and whether the inventory could hold them. */
+/** Shapes of gangs: the cells that the tasks of a job need in each pool, and whether the inventory could hold them. */
 import type { Adjacency, JobSpec } from '@comfreygrade/core'
-import { type CellPool, type CellTree, levelFor, levelWithin } from './cells.js'
+import { type CellPool, type CellTree, smallestLevelHolding, largestLevelWithin } from './cells.js'
 
-/** A shape that jobs share. */
+/** Shape of a gang; shared by all jobs with the same requirements. */
 export interface GangShape {
   readonly key: string
   readonly tasks: number
   readonly adjacency: Adjacency
-  /** Pools that can hold a task, with the level of its cell. */
+  /** Pools that can hold a task, with the level of the cell that it needs there. */
   readonly options: ReadonlyArray<{ readonly pool: CellPool, readonly level: number }>
-  /** Fewest accelerators that the gang holds; 0 where no pool can hold a task. */
+  /** Fewest accelerators that the gang can occupy; 0 if no pool can hold a task. */
   readonly accelerators: number
-  /** Whether the inventory holds the shape when all of it works and is free. */
+  /** Whether the inventory could hold the gang if all workers were available and free. */
   readonly isPossible: boolean
 }
 
-/** Smallest level of a pool whose share covers a task, or undefined where a worker is too small. */
+/**
+ * Smallest level whose cells are large enough for a task, where a cell has a proportional share of its worker's cores
+ * and memory; undefined if a whole worker is too small.
+ */
 export function taskLevel (spec: JobSpec, pool: CellPool): number | undefined {
   const { acceleratorsPerWorker, coresPerWorker, memoryGbPerWorker } = pool
   const forCores = Math.ceil(spec.coresPerTask * acceleratorsPerWorker / coresPerWorker)
   const forMemory = Math.ceil(spec.memoryGbPerTask * acceleratorsPerWorker / memoryGbPerWorker)
-  const level = levelFor(Math.max(1, spec.acceleratorsPerTask, forCores, forMemory))
-  return level <= levelWithin(acceleratorsPerWorker) ? level : undefined
+  const level = smallestLevelHolding(Math.max(1, spec.acceleratorsPerTask, forCores, forMemory))
+  return level <= largestLevelWithin(acceleratorsPerWorker) ? level : undefined
 }
 
-/** Shapes of one inventory; each is computed once. */
+/** Cache of gang shapes for one inventory. */
 export class ShapeTable {
   readonly #tree: CellTree
   readonly #shapes = new Map<string, GangShape>()
@@ -37,13 +40,13 @@
    * The shape of a job.
    *
    * @example
-   * new ShapeTable(tree).of(spec).isPossible
+   * new ShapeTable(tree).shapeOf(spec).isPossible
    */
-  of (spec: JobSpec): GangShape {
+  shapeOf (spec: JobSpec): GangShape {
     const key = `${spec.acceleratorModel}/${spec.tasks}x${spec.acceleratorsPerTask}/${spec.coresPerTask}/` +
       `${spec.memoryGbPerTask}/${spec.adjacency}`
-    const known = this.#shapes.get(key)
-    if (known !== undefined) return known
+    const existing = this.#shapes.get(key)
+    if (existing !== undefined) return existing
     const created = this.#create(key, spec)
     this.#shapes.set(key, created)
     return created
@@ -75,7 +78,7 @@
   #isPossible (spec: JobSpec, options: GangShape['options']): boolean {
     switch (spec.adjacency) {
       case 'worker': return options.some(({ pool, level }) => workerCapacity(pool, level) >= spec.tasks)
-      case 'rack': return options.some(({ pool, level }) => this.#largestRack(pool, level) >= spec.tasks)
+      case 'rack': return options.some(({ pool, level }) => this.#largestRackCapacity(pool, level) >= spec.tasks)
       case 'none': return this.#totalCapacity(options) >= spec.tasks
     }
   }
@@ -88,7 +91,7 @@
     return total
   }
 
-  #largestRack (pool: CellPool, level: number): number {
+  #largestRackCapacity (pool: CellPool, level: number): number {
     return pool.rackIndexes.reduce((most, rackIndex) => Math.max(most, this.#rackCapacity(rackIndex, level)), 0)
   }
 
--- a/packages/placement/src/waiting-jobs.ts
+++ b/packages/placement/src/waiting-jobs.ts
@@ -1,15 +1,15 @@
-/** Waiting jobs, grouped by what decides whether they fit. */
+/** Waiting jobs, grouped by the properties that determine whether they fit. */
 import type { JobSpec } from '@comfreygrade/core'
-import type { JobRecord } from './jobs.js'
+import type { JobRecord } from './job-record.js'
 
-/** When capacity was freed last, in the counting of {@link WaitingJobs}. */
-interface CapacityChange { at: number }
+/** Epoch of {@link WaitingJobs} in which capacity of a model or quota of an organisation was last freed. */
+interface LastFreed { epoch: number }
 
-/** Groups of one organisation and priority; the job that was submitted first goes first. */
+/** Groups of one organisation and priority; the earliest submitted job comes first. */
 export class WaitingQueue {
   readonly groups = new Set<WaitingGroup>()
 
-  /** The open group whose first job is the oldest; costs one step for each group. */
+  /** The open group with the earliest submitted first job, found in time linear in the number of groups. */
   firstOpen (): WaitingGroup | undefined {
     let oldest: WaitingGroup | undefined
     let oldestSequence = Infinity
@@ -23,23 +23,23 @@
   }
 }
 
-/** Jobs that fit or do not fit together; a linked list, so that cancelling costs the same wherever a job stands. */
+/** Jobs that either all fit or all do not fit, as a linked list, so that a job is removed in constant time. */
 export class WaitingGroup {
   readonly key: string
   readonly queue: WaitingQueue
-  readonly #modelChange: CapacityChange
-  readonly #organisationChange: CapacityChange
+  readonly #modelFreed: LastFreed
+  readonly #organisationFreed: LastFreed
   #first: JobRecord | undefined
   #last: JobRecord | undefined
-  #closedAt = -1
+  #closedEpoch = -1
 
   constructor (
-    key: string, queue: WaitingQueue, modelChange: CapacityChange, organisationChange: CapacityChange
+    key: string, queue: WaitingQueue, modelFreed: LastFreed, organisationFreed: LastFreed
   ) {
     this.key = key
     this.queue = queue
-    this.#modelChange = modelChange
-    this.#organisationChange = organisationChange
+    this.#modelFreed = modelFreed
+    this.#organisationFreed = organisationFreed
   }
 
   /** The job that is tried next. */
@@ -47,22 +47,22 @@
     return this.#first
   }
 
-  /** Whether the first job may fit: it was not tried since capacity for it was freed. */
+  /** Whether the first job may fit: it has not been tried since capacity or quota for it was freed. */
   get isOpen (): boolean {
-    return this.#closedAt < this.#modelChange.at || this.#closedAt < this.#organisationChange.at
+    return this.#closedEpoch < this.#modelFreed.epoch || this.#closedEpoch < this.#organisationFreed.epoch
   }
 
-  /** Notes that the first job did not fit, until capacity is freed after `time`. */
-  close (time: number): void {
-    this.#closedAt = time
+  /** Closes the group because its first job did not fit, until capacity or quota is freed after `epoch`. */
+  close (epoch: number): void {
+    this.#closedEpoch = epoch
   }
 
-  /** Lets the first job be tried again. */
+  /** Allows the first job to be tried again. */
   open (): void {
-    this.#closedAt = -1
+    this.#closedEpoch = -1
   }
 
-  /** Inserts a job by its order of submission; a new job, or one older than all, costs one step. */
+  /** Inserts a job in order of submission; constant time at either end. */
   insert (job: JobRecord): void {
     const isOldest = this.#first !== undefined && job.sequence < this.#first.sequence
     let previous = isOldest ? undefined : this.#last
@@ -76,7 +76,6 @@
     else previous.next = job
   }
 
-  /** Takes a job out. */
   remove (job: JobRecord): void {
     if (job.previous === undefined) this.#first = job.next
     else job.previous.next = job.next
@@ -88,12 +87,12 @@
   }
 }
 
-/** All waiting jobs. A group is open while its first job may fit; it is closed until capacity is freed. */
+/** All waiting jobs. A group is closed when its first job cannot be placed, until capacity or quota is freed. */
 export class WaitingJobs {
   readonly #groups = new Map<string, WaitingGroup>()
   readonly #queues = new Map<string, WaitingQueue>()
-  readonly #changes = new Map<string, CapacityChange>()
-  #time = 0
+  readonly #lastFreed = new Map<string, LastFreed>()
+  #epoch = 0
   #size = 0
 
   /** Number of waiting jobs. */
@@ -101,12 +100,12 @@
     return this.#size
   }
 
-  /** Queues by organisation and priority that have jobs. */
+  /** Non-empty queues, one for each organisation and priority. */
   get queues (): Iterable<WaitingQueue> {
     return this.#queues.values()
   }
 
-  /** Adds a job and opens its group where the job became its first. */
+  /** Adds a job, and opens its group if the job is now its first. */
   add (job: JobRecord): void {
     const key = groupKey(job)
     const group = this.#groups.get(key) ?? this.#createGroup(key, job.spec)
@@ -115,7 +114,7 @@
     this.#size += 1
   }
 
-  /** Takes a job out; does nothing for a job that does not wait. */
+  /** Removes a job; does nothing if it is not waiting. */
   remove (job: JobRecord): void {
     const group = job.group
     if (group === undefined) return
@@ -129,20 +128,20 @@
 
   /** Closes a group whose first job did not fit. */
   close (group: WaitingGroup): void {
-    group.close(this.#time)
+    group.close(this.#epoch)
   }
 
-  /** Opens the groups of the given accelerator models and organisations. */
+  /** Reopens the groups of accelerator models with freed capacity and of organisations with freed quota. */
   reopen (models: Iterable<string>, organisationIds: Iterable<string>): void {
-    this.#time += 1
-    for (const model of models) this.#changeOf(`model ${model}`).at = this.#time
-    for (const organisationId of organisationIds) this.#changeOf(`organisation ${organisationId}`).at = this.#time
+    this.#epoch += 1
+    for (const model of models) this.#lastFreedOf(`model ${model}`).epoch = this.#epoch
+    for (const organisationId of organisationIds) this.#lastFreedOf(`organisation ${organisationId}`).epoch = this.#epoch
   }
 
   #createGroup (key: string, spec: JobSpec): WaitingGroup {
     const queue = this.#queueOf(spec)
-    const modelChange = this.#changeOf(`model ${spec.acceleratorModel}`)
-    const group = new WaitingGroup(key, queue, modelChange, this.#changeOf(`organisation ${spec.organisationId}`))
+    const modelFreed = this.#lastFreedOf(`model ${spec.acceleratorModel}`)
+    const group = new WaitingGroup(key, queue, modelFreed, this.#lastFreedOf(`organisation ${spec.organisationId}`))
     this.#groups.set(key, group)
     queue.groups.add(group)
     return group
@@ -158,13 +157,13 @@
     return queue
   }
 
-  #changeOf (name: string): CapacityChange {
-    let change = this.#changes.get(name)
-    if (change === undefined) {
-      change = { at: 0 }
-      this.#changes.set(name, change)
+  #lastFreedOf (name: string): LastFreed {
+    let lastFreed = this.#lastFreed.get(name)
+    if (lastFreed === undefined) {
+      lastFreed = { epoch: 0 }
+      this.#lastFreed.set(name, lastFreed)
     }
-    return change
+    return lastFreed
   }
 }
 
@@ -172,16 +171,17 @@
   return `${spec.priority}|${spec.organisationId}`
 }
 
+/** Jobs with failed tasks get a group of their own, as they exclude the workers on which these failed. */
 function groupKey (job: JobRecord): string {
   const { spec, shape } = job
-  const runBucket = Math.floor(Math.log2(Math.max(1, spec.declaredRunMs)))
-  const failed = job.failedWorkerIds.size > 0 ? job.spec.jobId : ''
+  const runTimeBucket = Math.floor(Math.log2(Math.max(1, spec.declaredRunMs)))
+  const failedJobId = job.failedWorkerIds.size > 0 ? job.spec.jobId : ''
   return `${spec.priority}|${spec.organisationId}|${shape.key}|${spec.preemption === 'none'}|` +
-    `${spec.jobClass}|${runBucket}|${failed}`
+    `${spec.jobClass}|${runTimeBucket}|${failedJobId}`
 }
 
 /**
- * Binary heap.
+ * Binary min-heap.
  *
  * @example
  * const heap = new Heap<number>((left, right) => left - right)
@@ -199,7 +199,6 @@
     return this.#items.length
   }
 
-  /** Adds an item. */
   push (item: T): void {
     let index = this.#items.push(item) - 1
     while (index > 0) {
@@ -211,15 +210,15 @@
     this.#items[index] = item
   }
 
-  /** Removes and gives the least item. */
+  /** Removes and returns the smallest item; undefined if the heap is empty. */
   pop (): T | undefined {
     const least = this.#items[0]
     const last = this.#items.pop()
-    if (this.#items.length > 0) this.#sink(last!)
+    if (this.#items.length > 0) this.#siftDown(last!)
     return least
   }
 
-  #sink (item: T): void {
+  #siftDown (item: T): void {
     let index = 0
     for (;;) {
       let child = index * 2 + 1
--- a/packages/placement/src/worker-health.ts
+++ b/packages/placement/src/worker-health.ts
@@ -1,11 +1,11 @@
-/** Health of workers: failures by job, quarantine and retries at increasing intervals. */
+/** Quarantine of workers on which tasks of several jobs fail, with exponential back-off between retries. */
 import type { PlacementSettings } from './settings.js'
 
 interface HealthRecord {
   readonly failedJobIds: Set<string>
   quarantinedUntilMs: number | undefined
-  /** Quarantines since the last job that ended well on the worker. */
-  quarantines: number
+  /** Quarantines since the last job that succeeded on the worker. */
+  quarantineCount: number
 }
 
 /** Decides which workers are quarantined. Only workers with failures have a record. */
@@ -18,42 +18,42 @@
   }
 
   /**
-   * Counts a failed task. A worker on retry is quarantined again at its first failure.
+   * Records a failed task. After a quarantine, a single failure quarantines the worker again.
    *
-   * @returns whether the worker is quarantined by this failure
+   * @returns whether this failure quarantined the worker
    */
-  failed (workerId: string, jobId: string, nowMs: number): boolean {
+  recordFailure (workerId: string, jobId: string, nowMs: number): boolean {
     const record = this.#recordOf(workerId)
     record.failedJobIds.add(jobId)
     if (record.quarantinedUntilMs !== undefined) return false
-    if (record.failedJobIds.size < this.#limit(record.quarantines)) return false
+    if (record.failedJobIds.size < this.#failureLimit(record.quarantineCount)) return false
     this.#quarantine(record, nowMs)
     return true
   }
 
-  /** A job ended well on the worker. */
-  succeeded (workerId: string): void {
+  /** Resets the failure record of a worker on which a job succeeded, unless the worker is quarantined. */
+  recordSuccess (workerId: string): void {
     const record = this.#records.get(workerId)
     if (record !== undefined && record.quarantinedUntilMs === undefined) this.#records.delete(workerId)
   }
 
   /**
-   * Takes back the failures of a job that fails everywhere.
+   * Removes the failures of a job that was stopped after failing on several workers, as the job is the likely cause.
    *
    * @returns whether this ends the worker's quarantine
    */
-  forgive (workerId: string, jobId: string): boolean {
+  retractFailure (workerId: string, jobId: string): boolean {
     const record = this.#records.get(workerId)
     if (record === undefined || !record.failedJobIds.delete(jobId)) return false
     if (record.quarantinedUntilMs === undefined) return false
-    if (record.failedJobIds.size >= this.#limit(record.quarantines - 1)) return false
+    if (record.failedJobIds.size >= this.#failureLimit(record.quarantineCount - 1)) return false
     record.quarantinedUntilMs = undefined
-    record.quarantines -= 1
+    record.quarantineCount -= 1
     return true
   }
 
-  /** Ends the quarantines that are over and gives their workers. */
-  release (nowMs: number): string[] {
+  /** Ends expired quarantines and returns the workers. */
+  endExpiredQuarantines (nowMs: number): string[] {
     const released: string[] = []
     for (const [workerId, record] of this.#records) {
       if (record.quarantinedUntilMs === undefined || record.quarantinedUntilMs > nowMs) continue
@@ -64,31 +64,29 @@
     return released
   }
 
-  /** Whether the worker is in quarantine. */
   isQuarantined (workerId: string): boolean {
     return this.#records.get(workerId)?.quarantinedUntilMs !== undefined
   }
 
-  /** Workers in quarantine. */
   quarantinedWorkerIds (): string[] {
     return [...this.#records].filter(([, record]) => record.quarantinedUntilMs !== undefined).map(([id]) => id).sort()
   }
 
-  #limit (earlierQuarantines: number): number {
+  #failureLimit (earlierQuarantines: number): number {
     return earlierQuarantines > 0 ? 1 : this.#settings.quarantineAfterFailures
   }
 
   #recordOf (workerId: string): HealthRecord {
-    const known = this.#records.get(workerId)
-    if (known !== undefined) return known
-    const created: HealthRecord = { failedJobIds: new Set(), quarantinedUntilMs: undefined, quarantines: 0 }
+    const existing = this.#records.get(workerId)
+    if (existing !== undefined) return existing
+    const created: HealthRecord = { failedJobIds: new Set(), quarantinedUntilMs: undefined, quarantineCount: 0 }
     this.#records.set(workerId, created)
     return created
   }
 
   #quarantine (record: HealthRecord, nowMs: number): void {
-    const waitMs = this.#settings.quarantineRetryMs * 2 ** Math.min(record.quarantines, 30)
+    const waitMs = this.#settings.quarantineRetryMs * 2 ** Math.min(record.quarantineCount, 30)
     record.quarantinedUntilMs = nowMs + Math.min(waitMs, this.#settings.quarantineRetryMaxMs)
-    record.quarantines += 1
+    record.quarantineCount += 1
   }
 }
--- a/packages/placement/test/brute-force.ts
+++ b/packages/placement/test/exhaustive-search.ts
@@ -1,8 +1,8 @@
-/** A slow model of cells and guarantees that shares no code with the scheduler; used as a reference in tests. */
+/** Reference model of cells and guarantees by exhaustive search; shares no code with the scheduler. */
 import type { Configuration, Guarantee, Organisation, Rack, Worker } from '@comfreygrade/core'
 import { defaultRules } from '@comfreygrade/core'
 
-/** Workers of one test rack; positions start at 0. */
+/** Number of workers in a test rack, at positions from 0, and of accelerators in each. */
 export interface TestRack { readonly workers: number, readonly accelerators: number }
 
 export function testConfiguration (
@@ -10,20 +10,21 @@
   guarantees: ReadonlyArray<Partial<Guarantee>> = [],
   organisations: ReadonlyArray<Partial<Organisation>> = [{}, { organisationId: 'o2' }]
 ): Configuration {
-  const workers: Worker[] = racks.flatMap((rack, rackNumber) => Array.from({ length: rack.workers }, (_, position) => ({
-    workerId: `r${rackNumber}w${position}`,
-    rackId: `r${rackNumber}`,
+  const workers: Worker[] = racks.flatMap((rack, rackIndex) => Array.from({ length: rack.workers }, (_, position) => ({
+    workerId: `r${rackIndex}w${position}`,
+    rackId: `r${rackIndex}`,
     rackPosition: position,
     cores: 64,
     memoryGb: 256,
     acceleratorModel: 'gpu',
     accelerators: rack.accelerators
   })))
-  const rackRecords: Rack[] = racks.map((_, number) => ({ rackId: `r${number}`, region: 'salto', availabilityZone: 'a' }))
-  const organisationRecords = organisations.map(part => (
-    { organisationId: 'o1', quotaAccelerators: 1000, weight: 1, ...part }))
+  const rackRecords: Rack[] = racks.map((_, index) => ({ rackId: `r${index}`, region: 'salto', availabilityZone: 'a' }))
+  const organisationRecords = organisations.map(overrides => (
+    { organisationId: 'o1', quotaAccelerators: 1000, weight: 1, ...overrides }))
   const guaranteeBase = { organisationId: 'o1', acceleratorModel: 'gpu', acceleratorsPerCell: 1, cells: 1 }
-  const guaranteeRecords = guarantees.map((part, number) => ({ guaranteeId: `g${number}`, ...guaranteeBase, ...part }))
+  const guaranteeRecords = guarantees.map((overrides, index) => (
+    { guaranteeId: `g${index}`, ...guaranteeBase, ...overrides }))
   return {
     version: 1,
     racks: new Map(rackRecords.map(rack => [rack.rackId, rack])),
@@ -36,32 +37,32 @@
 
 /** Every cell of `size` accelerators as a list of accelerator names such as `r0w1#3`. */
 export function cellsOfSize (racks: readonly TestRack[], size: number): string[][] {
-  return racks.flatMap((rack, number) => {
+  return racks.flatMap((rack, rackIndex) => {
     const isPowerOfTwo = Number.isInteger(Math.log2(rack.accelerators))
-    const spans = isPowerOfTwo
+    const cellRanges = isPowerOfTwo
       ? [Array.from({ length: rack.workers * rack.accelerators }, (_, offset) =>
-          `r${number}w${Math.floor(offset / rack.accelerators)}#${offset % rack.accelerators}`)]
+          `r${rackIndex}w${Math.floor(offset / rack.accelerators)}#${offset % rack.accelerators}`)]
       : Array.from({ length: rack.workers }, (_, worker) =>
-        Array.from({ length: rack.accelerators }, (_, offset) => `r${number}w${worker}#${offset}`))
-    return spans.flatMap(span => alignedBlocks(span, size))
+        Array.from({ length: rack.accelerators }, (_, offset) => `r${rackIndex}w${worker}#${offset}`))
+    return cellRanges.flatMap(range => alignedBlocks(range, size))
   })
 }
 
-function alignedBlocks (span: string[], size: number): string[][] {
+function alignedBlocks (range: string[], size: number): string[][] {
   const blocks: string[][] = []
-  for (let start = 0; start + size <= span.length; start += size) blocks.push(span.slice(start, start + size))
+  for (let start = 0; start + size <= range.length; start += size) blocks.push(range.slice(start, start + size))
   return blocks
 }
 
-/** Whether disjoint cells of the given sizes fit into the accelerators that are not taken, by trying everything. */
-export function fitsByTrying (
+/** Whether disjoint cells of the given sizes fit into the accelerators that are not taken. */
+export function fitsByExhaustiveSearch (
   racks: readonly TestRack[], taken: ReadonlySet<string>, sizes: readonly number[]
 ): boolean {
   const [size, ...rest] = [...sizes].sort((left, right) => right - left)
   if (size === undefined) return true
   for (const cell of cellsOfSize(racks, size)) {
     if (cell.some(accelerator => taken.has(accelerator))) continue
-    if (fitsByTrying(racks, new Set([...taken, ...cell]), rest)) return true
+    if (fitsByExhaustiveSearch(racks, new Set([...taken, ...cell]), rest)) return true
   }
   return false
 }
--- a/packages/placement/test/scheduler.test.ts
+++ b/packages/placement/test/scheduler.test.ts
@@ -3,12 +3,12 @@
 import {
   BuddyCellPolicy, FirstFitPolicy, GangScheduler, type PlacementDecision, type PlacementPolicy, defaultPlacementSettings
 } from '../src/index.js'
-import { testConfiguration } from './brute-force.js'
+import { testConfiguration } from './exhaustive-search.js'
 
 const HOUR_MS = 3_600_000
-const oneRack = [{ workers: 4, accelerators: 8 }]
+const rackOfFourWorkers = [{ workers: 4, accelerators: 8 }]
 
-function job (jobId: string, part: Partial<JobSpec> = {}): JobSpec {
+function job (jobId: string, overrides: Partial<JobSpec> = {}): JobSpec {
   return {
     jobId,
     organisationId: 'o1',
@@ -22,11 +22,11 @@
     declaredRunMs: HOUR_MS,
     priority: 'normal',
     preemption: 'checkpoint',
-    ...part
+    ...overrides
   }
 }
 
-function start (configuration: Configuration, policy: PlacementPolicy = new BuddyCellPolicy()): GangScheduler {
+function startScheduler (configuration: Configuration, policy: PlacementPolicy = new BuddyCellPolicy()): GangScheduler {
   const scheduler = new GangScheduler(defaultPlacementSettings, policy)
   scheduler.applyConfiguration(configuration)
   for (const workerId of configuration.workers.keys()) scheduler.workerJoined(workerId, 0)
@@ -40,7 +40,7 @@
   }
 }
 
-const ids = (decisions: readonly PlacementDecision[], kind: PlacementDecision['kind']) =>
+const jobIds = (decisions: readonly PlacementDecision[], kind: PlacementDecision['kind']) =>
   decisions.filter(decision => decision.kind === kind).map(decision => decision.jobId)
 
 function placementOf (decisions: readonly PlacementDecision[], jobId: string) {
@@ -49,24 +49,25 @@
   return found.placement
 }
 
-test('a gang that only partly fits gets no cell, so that no part of it runs alone', t => {
-  const scheduler = start(testConfiguration(oneRack))
+test('a gang that only partly fits gets no cells, so that it never starts incomplete', t => {
+  const scheduler = startScheduler(testConfiguration(rackOfFourWorkers))
   submitAll(scheduler, [job('a'), job('gang', { tasks: 4 })])
-  t.deepEqual(ids(scheduler.pass(0), 'place'), ['a'])
+  t.deepEqual(jobIds(scheduler.pass(0), 'place'), ['a'])
   t.is(scheduler.report().acceleratorsInUse, 8)
   scheduler.ended('a', 1000)
   t.is(placementOf(scheduler.pass(1000), 'gang').tasks.length, 4)
 })
 
-test('a gang of 64 tasks is placed as a whole and one of 65 is refused', t => {
-  const scheduler = start(testConfiguration([{ workers: 8, accelerators: 8 }]))
+test('a gang of the maximum of 64 tasks is placed as a whole, and one of 65 tasks is refused', t => {
+  const scheduler = startScheduler(testConfiguration([{ workers: 8, accelerators: 8 }]))
   t.is(scheduler.submit(job('big', { tasks: 65, acceleratorsPerTask: 1 }), 0)?.kind, 'impossible_shape')
   submitAll(scheduler, [job('max', { tasks: 64, acceleratorsPerTask: 1 })])
   t.is(placementOf(scheduler.pass(0), 'max').tasks.length, 64)
 })
 
-test('adjacent tasks never end up on different workers or racks', t => {
-  const scheduler = start(testConfiguration([{ workers: 2, accelerators: 8 }, { workers: 2, accelerators: 8 }]))
+test('tasks with worker or rack adjacency are never placed on different workers or racks', t => {
+  const scheduler = startScheduler(
+    testConfiguration([{ workers: 2, accelerators: 8 }, { workers: 2, accelerators: 8 }]))
   submitAll(scheduler, [
     job('worker', { tasks: 3, acceleratorsPerTask: 2, adjacency: 'worker' }),
     job('rack', { tasks: 2, acceleratorsPerTask: 8, adjacency: 'rack' })
@@ -77,8 +78,8 @@
   t.is(scheduler.submit(job('wide', { tasks: 3, adjacency: 'rack' }), 0)?.kind, 'impossible_shape')
 })
 
-test('a task with much memory or many cores gets a larger cell, so that neighbours keep their share', t => {
-  const scheduler = start(testConfiguration(oneRack))
+test('a task that needs much memory or many cores gets a larger cell, so that tasks in other cells keep their share', t => {
+  const scheduler = startScheduler(testConfiguration(rackOfFourWorkers))
   submitAll(scheduler, [
     job('memory', { acceleratorsPerTask: 1, memoryGbPerTask: 33 }),
     job('cores', { acceleratorsPerTask: 1, coresPerTask: 17 })
@@ -89,60 +90,60 @@
   t.is(scheduler.submit(job('huge', { memoryGbPerTask: 257 }), 0)?.kind, 'impossible_shape')
 })
 
-test('small jobs fill partly used workers, so that whole workers stay free for large ones', t => {
-  const scheduler = start(testConfiguration(oneRack))
+test('small jobs fill partly used workers, so that whole workers stay free for large jobs', t => {
+  const scheduler = startScheduler(testConfiguration(rackOfFourWorkers))
   submitAll(scheduler, [1, 2, 1, 4].map((size, number) => job(`j${number}`, { acceleratorsPerTask: size })))
   const decisions = scheduler.pass(0)
   const workers = decisions.map(decision => placementOf(decisions, decision.jobId).tasks[0]!.workerId)
   t.is(new Set(workers).size, 1)
 })
 
-test('unknown organisations, shapes beyond the inventory and jobs above the quota are refused at once', t => {
-  const scheduler = start(testConfiguration(oneRack, [], [{ quotaAccelerators: 8 }]))
+test('jobs of unknown organisations, with impossible shapes or above the quota are refused on submission', t => {
+  const scheduler = startScheduler(testConfiguration(rackOfFourWorkers, [], [{ quotaAccelerators: 8 }]))
   t.is(scheduler.submit(job('a', { organisationId: 'nobody' }), 0)?.kind, 'unknown_organisation')
   t.is(scheduler.submit(job('b', { acceleratorModel: 'other' }), 0)?.kind, 'impossible_shape')
   t.is(scheduler.submit(job('c', { tasks: 2 }), 0)?.kind, 'quota_exceeded')
   t.is(scheduler.explain('c', 0).state, 'refused')
   submitAll(scheduler, [job('d'), job('e')])
-  t.deepEqual(ids(scheduler.pass(0), 'place'), ['d'])
+  t.deepEqual(jobIds(scheduler.pass(0), 'place'), ['d'])
   const waiting = scheduler.explain('e', 0)
   t.deepEqual([waiting.blockedByJobIds, waiting.estimatedStartInMs, waiting.queuePosition], [['d'], HOUR_MS, 1])
   scheduler.ended('d', 10)
-  t.deepEqual(ids(scheduler.pass(10), 'place'), ['e'])
+  t.deepEqual(jobIds(scheduler.pass(10), 'place'), ['e'])
 })
 
-const halfGuaranteed = testConfiguration(oneRack, [{ acceleratorsPerCell: 8, cells: 2 }])
+const halfGuaranteed = testConfiguration(rackOfFourWorkers, [{ acceleratorsPerCell: 8, cells: 2 }])
 
-test('a holder gets its guarantee although lent jobs fill the rack; each is told once and waits again afterwards', t => {
-  const scheduler = start(halfGuaranteed)
+test('an organisation gets its guarantee from jobs on lent capacity, each of which is preempted once and requeued', t => {
+  const scheduler = startScheduler(halfGuaranteed)
   submitAll(scheduler, [1, 2, 3, 4].map(number => job(`lent${number}`, { organisationId: 'o2' })))
-  t.is(ids(scheduler.pass(0), 'place').length, 4)
+  t.is(jobIds(scheduler.pass(0), 'place').length, 4)
   t.is(scheduler.report().guarantees[0]!.lentAccelerators, 16)
   submitAll(scheduler, [job('own', { tasks: 2 })], 10)
-  const told = ids(scheduler.pass(10), 'reclaim')
-  t.is(told.length, 2)
-  t.deepEqual(scheduler.explain('own', 10).blockedByJobIds, told)
-  t.is(scheduler.explain(told[0]!, 10).state, 'reclaiming')
+  const preempted = jobIds(scheduler.pass(10), 'reclaim')
+  t.is(preempted.length, 2)
+  t.deepEqual(scheduler.explain('own', 10).blockedByJobIds, preempted)
+  t.is(scheduler.explain(preempted[0]!, 10).state, 'reclaiming')
   t.deepEqual(scheduler.pass(20), [])
-  for (const victim of told) scheduler.reclaimed(victim, 30)
+  for (const victim of preempted) scheduler.reclaimed(victim, 30)
   const decisions = scheduler.pass(30)
   t.is(placementOf(decisions, 'own').capacityClass, 'guaranteed')
-  t.deepEqual(ids(decisions, 'place'), ['own'])
-  t.deepEqual(told.map(victim => scheduler.explain(victim, 30).state), ['waiting', 'waiting'])
+  t.deepEqual(jobIds(decisions, 'place'), ['own'])
+  t.deepEqual(preempted.map(victim => scheduler.explain(victim, 30).state), ['waiting', 'waiting'])
   t.is(scheduler.report().guarantees[0]!.cellsInUse, 2)
   scheduler.ended('own', 40)
   t.is(scheduler.report().guarantees[0]!.cellsInUse, 0)
 })
 
-test('a job that cannot be interrupted never holds what a guarantee needs', t => {
-  const scheduler = start(halfGuaranteed)
+test('a non-preemptible job never uses capacity that a guarantee needs', t => {
+  const scheduler = startScheduler(halfGuaranteed)
   submitAll(scheduler, [1, 2, 3].map(number => job(`firm${number}`, { organisationId: 'o2', preemption: 'none' })))
-  t.is(ids(scheduler.pass(0), 'place').length, 2)
+  t.is(jobIds(scheduler.pass(0), 'place').length, 2)
   t.true(scheduler.checkReclaimable().isReclaimable)
 })
 
-test('a claim gives way when its worker is lost, and lost hardware is never reported as intact', t => {
-  const scheduler = start(halfGuaranteed)
+test('a claim is released when its worker is lost, and guaranteed cells on lost workers are reported as missing', t => {
+  const scheduler = startScheduler(halfGuaranteed)
   submitAll(scheduler, [1, 2, 3, 4].map(number => job(`lent${number}`, { organisationId: 'o2' })))
   scheduler.pass(0)
   submitAll(scheduler, [job('own', { tasks: 2 })])
@@ -155,49 +156,49 @@
   t.true(scheduler.checkReclaimable().isReclaimable)
 })
 
-test('urgent work takes lent capacity of lower priorities in the same pass, over-runners first', t => {
-  const scheduler = start(testConfiguration(oneRack))
+test('an urgent job preempts jobs of lower priority in the same pass, those beyond their declared run time first', t => {
+  const scheduler = startScheduler(testConfiguration(rackOfFourWorkers))
   const runsMs = [HOUR_MS, 1000, HOUR_MS, HOUR_MS]
   submitAll(scheduler, runsMs.map((declaredRunMs, number) => job(`j${number}`, { declaredRunMs })))
   scheduler.pass(0)
   submitAll(scheduler, [job('now', { organisationId: 'o2', priority: 'urgent' })], 5000)
-  t.deepEqual(ids(scheduler.pass(5000), 'reclaim'), ['j1'])
+  t.deepEqual(jobIds(scheduler.pass(5000), 'reclaim'), ['j1'])
   scheduler.ended('j1', 6000)
-  t.deepEqual(ids(scheduler.pass(6000), 'place'), ['now'])
+  t.deepEqual(jobIds(scheduler.pass(6000), 'place'), ['now'])
 })
 
-test('small jobs overtake a waiting large one only where they do not delay its reserved start', t => {
-  const scheduler = start(testConfiguration(oneRack))
+test('small jobs are backfilled ahead of a waiting large job only if they do not delay its reserved start', t => {
+  const scheduler = startScheduler(testConfiguration(rackOfFourWorkers))
   submitAll(scheduler, [job('long', { tasks: 3 })])
   scheduler.pass(0)
   submitAll(scheduler, [job('large', { tasks: 4 }), job('slow', { declaredRunMs: 2 * HOUR_MS }), job('fast')])
-  t.deepEqual(ids(scheduler.pass(0), 'place'), ['fast'])
+  t.deepEqual(jobIds(scheduler.pass(0), 'place'), ['fast'])
   const large = scheduler.explain('large', 0)
   t.deepEqual([large.blockedByJobIds, large.estimatedStartInMs], [['long'], HOUR_MS])
   scheduler.ended('fast', 10)
   t.deepEqual(scheduler.pass(10), [])
   scheduler.ended('long', 20)
-  t.deepEqual(ids(scheduler.pass(20), 'place'), ['large'])
+  t.deepEqual(jobIds(scheduler.pass(20), 'place'), ['large'])
 })
 
-test('with the baseline nothing overtakes the first job', t => {
-  const scheduler = start(testConfiguration(oneRack), new FirstFitPolicy())
+test('with the first-fit baseline no job starts ahead of the first waiting job', t => {
+  const scheduler = startScheduler(testConfiguration(rackOfFourWorkers), new FirstFitPolicy())
   submitAll(scheduler, [job('a'), job('large', { tasks: 4 }), job('urgent', { priority: 'urgent' })])
-  t.deepEqual(ids(scheduler.pass(0), 'place'), ['a'])
+  t.deepEqual(jobIds(scheduler.pass(0), 'place'), ['a'])
   scheduler.ended('a', 10)
-  t.deepEqual(ids(scheduler.pass(10), 'place'), ['large'])
+  t.deepEqual(jobIds(scheduler.pass(10), 'place'), ['large'])
 })
 
-test('with the baseline a blocked accelerator model does not hold up another one', t => {
-  const base = testConfiguration(oneRack)
+test('with the first-fit baseline a job that does not fit does not block other accelerator models', t => {
+  const base = testConfiguration(rackOfFourWorkers)
   const other = { ...base.workers.get('r0w0')!, workerId: 'other', rackId: 'r1', acceleratorModel: 'tpu' }
-  const scheduler = start({ ...base, workers: new Map([...base.workers, ['other', other]]) }, new FirstFitPolicy())
+  const scheduler = startScheduler({ ...base, workers: new Map([...base.workers, ['other', other]]) }, new FirstFitPolicy())
   submitAll(scheduler, [job('a'), job('b', { tasks: 4 }), job('c'), job('d', { acceleratorModel: 'tpu' })])
-  t.deepEqual(ids(scheduler.pass(0), 'place'), ['a', 'd'])
+  t.deepEqual(jobIds(scheduler.pass(0), 'place'), ['a', 'd'])
 })
 
-test('run times learned by class replace wrong declarations in backfilling', t => {
-  const scheduler = start(testConfiguration(oneRack))
+test('run times learned by job class replace wrong declared run times in backfilling', t => {
+  const scheduler = startScheduler(testConfiguration(rackOfFourWorkers))
   for (let run = 0; run < 3; run++) {
     submitAll(scheduler, [job(`past${run}`, { jobClass: 'short', declaredRunMs: 9 * HOUR_MS })], run * 10)
     scheduler.pass(run * 10)
@@ -208,18 +209,19 @@
   submitAll(scheduler, [
     job('large', { tasks: 4 }), job('short', { jobClass: 'short', declaredRunMs: 9 * HOUR_MS })
   ], 60)
-  t.deepEqual(ids(scheduler.pass(60), 'place'), ['short'])
+  t.deepEqual(jobIds(scheduler.pass(60), 'place'), ['short'])
 })
 
-test('the organisation with less attained service against its quota goes first', t => {
-  const scheduler = start(testConfiguration(oneRack))
+test('jobs of the organisation with less attained service relative to its quota are placed first', t => {
+  const scheduler = startScheduler(testConfiguration(rackOfFourWorkers))
   submitAll(scheduler, [1, 2, 3, 4].map(number => job(`a${number}`)))
   submitAll(scheduler, [job('b', { organisationId: 'o2' })])
-  t.true(ids(scheduler.pass(0), 'place').includes('b'))
+  t.true(jobIds(scheduler.pass(0), 'place').includes('b'))
 })
 
-test('a worker that fails different jobs is quarantined for growing times and cannot swallow the queue', t => {
-  const scheduler = start(testConfiguration([{ workers: 1, accelerators: 8 }, { workers: 1, accelerators: 8 }]))
+test('a worker that fails several jobs is quarantined for increasing periods, so that it cannot fail the whole queue', t => {
+  const scheduler = startScheduler(
+    testConfiguration([{ workers: 1, accelerators: 8 }, { workers: 1, accelerators: 8 }]))
   const fail = (jobId: string, nowMs: number) => {
     submitAll(scheduler, [job(jobId)], nowMs)
     scheduler.taskFailed(jobId, 'r0w0', nowMs)
@@ -236,14 +238,14 @@
   t.deepEqual(scheduler.report().quarantinedWorkerIds, [])
 })
 
-test('jobs that fail everywhere are stopped, and their failures do not quarantine the workers', t => {
-  const scheduler = start(testConfiguration(oneRack))
+test('jobs that fail on several workers are stopped, and their failures do not quarantine the workers', t => {
+  const scheduler = startScheduler(testConfiguration(rackOfFourWorkers))
   submitAll(scheduler, ['bad1', 'bad2', 'bad3'].map(jobId => job(jobId)))
   const stopped: string[] = []
   for (let round = 0; round < 4; round++) {
     const decisions = scheduler.pass(round)
-    stopped.push(...ids(decisions, 'stop'))
-    for (const jobId of ids(decisions, 'place')) {
+    stopped.push(...jobIds(decisions, 'stop'))
+    for (const jobId of jobIds(decisions, 'place')) {
       scheduler.taskFailed(jobId, placementOf(decisions, jobId).tasks[0]!.workerId, round)
       scheduler.reclaimed(jobId, round)
     }
@@ -253,41 +255,41 @@
   t.is(scheduler.explain('bad1', 9).state, 'refused')
 })
 
-test('a pass that ends after its limit of vain trials leaves the other jobs to later passes', t => {
+test('a pass that reaches its limit of failed placement attempts leaves the remaining jobs to later passes', t => {
   const scheduler = new GangScheduler({ ...defaultPlacementSettings, maxFailedTrials: 1 }, new BuddyCellPolicy())
-  scheduler.applyConfiguration(testConfiguration(oneRack))
+  scheduler.applyConfiguration(testConfiguration(rackOfFourWorkers))
   for (const workerId of ['r0w0', 'r0w1', 'r0w2', 'r0w3']) scheduler.workerJoined(workerId, 0)
   submitAll(scheduler, [job('long', { tasks: 3 })])
   scheduler.pass(0)
   submitAll(scheduler, [job('large4', { tasks: 4 }), job('large2', { tasks: 2 }), job('small', { declaredRunMs: 1 })])
   const placed: string[] = []
-  for (let pass = 1; pass <= 3; pass++) placed.push(...ids(scheduler.pass(pass), 'place'))
+  for (let pass = 1; pass <= 3; pass++) placed.push(...jobIds(scheduler.pass(pass), 'place'))
   t.deepEqual(placed, ['small'])
 })
 
-test('a drained worker gets nothing new and comes back when the drain ends', t => {
-  const scheduler = start(testConfiguration([{ workers: 1, accelerators: 8 }]))
+test('a draining worker gets no new tasks until the drain ends', t => {
+  const scheduler = startScheduler(testConfiguration([{ workers: 1, accelerators: 8 }]))
   scheduler.drainWorker('r0w0')
   submitAll(scheduler, [job('a')])
   t.deepEqual(scheduler.pass(0), [])
   scheduler.undrainWorker('r0w0')
-  t.deepEqual(ids(scheduler.pass(1), 'place'), ['a'])
+  t.deepEqual(jobIds(scheduler.pass(1), 'place'), ['a'])
 })
 
-test('a new leader that restores the placements sees the same cells, guarantees and quotas', t => {
-  const scheduler = start(halfGuaranteed)
+test('a new leader that restores the placements has the same cells, guarantees and quotas in use', t => {
+  const scheduler = startScheduler(halfGuaranteed)
   const lent = [1, 2, 3, 4].map(number => job(`lent${number}`, { organisationId: 'o2' }))
   const specs = new Map([job('own', { tasks: 2 }), ...lent].map(spec => [spec.jobId, spec]))
   submitAll(scheduler, [...specs.values()].slice(1))
   const decisions = scheduler.pass(0)
   submitAll(scheduler, [specs.get('own')!])
-  const told = ids(scheduler.pass(0), 'reclaim')
-  for (const victim of told) scheduler.ended(victim, 0)
+  const preempted = jobIds(scheduler.pass(0), 'reclaim')
+  for (const victim of preempted) scheduler.ended(victim, 0)
   decisions.push(...scheduler.pass(0))
   const next = new GangScheduler(defaultPlacementSettings, new BuddyCellPolicy())
   next.applyConfiguration(halfGuaranteed)
   for (const { jobId } of decisions) {
-    if (!told.includes(jobId)) next.restore(specs.get(jobId)!, placementOf(decisions, jobId), 0)
+    if (!preempted.includes(jobId)) next.restore(specs.get(jobId)!, placementOf(decisions, jobId), 0)
   }
   for (const workerId of halfGuaranteed.workers.keys()) next.workerJoined(workerId, 0)
   t.is(next.report().guarantees[0]!.cellsInUse, 2)
@@ -295,19 +297,19 @@
   for (const jobId of specs.keys()) next.ended(jobId, 5)
   t.is(next.report().acceleratorsInUse, 0)
   submitAll(next, [job('all', { tasks: 4 })], 6)
-  t.deepEqual(ids(next.pass(6), 'place'), ['all'])
+  t.deepEqual(jobIds(next.pass(6), 'place'), ['all'])
 })
 
-test('a change of the inventory keeps running jobs, claims and waiting jobs', t => {
-  const scheduler = start(halfGuaranteed)
+test('an inventory change keeps running jobs, and jobs with claims are placed without further preemption', t => {
+  const scheduler = startScheduler(halfGuaranteed)
   submitAll(scheduler, [1, 2, 3, 4].map(number => job(`lent${number}`, { organisationId: 'o2' })))
   scheduler.pass(0)
   submitAll(scheduler, [job('own', { tasks: 2 })])
-  const told = ids(scheduler.pass(0), 'reclaim')
+  const preempted = jobIds(scheduler.pass(0), 'reclaim')
   const grown = testConfiguration([{ workers: 5, accelerators: 8 }], [{ acceleratorsPerCell: 8, cells: 2 }])
   scheduler.applyConfiguration(grown)
   t.is(scheduler.report().acceleratorsInUse, 32)
-  for (const victim of told) scheduler.ended(victim, 5)
+  for (const victim of preempted) scheduler.ended(victim, 5)
   const decisions = scheduler.pass(5)
-  t.deepEqual([ids(decisions, 'place'), ids(decisions, 'reclaim')], [['own'], []])
+  t.deepEqual([jobIds(decisions, 'place'), jobIds(decisions, 'reclaim')], [['own'], []])
 })
