--- a/packages/routing/src/admission.ts
+++ b/packages/routing/src/admission.ts
@@ -1,44 +1,49 @@
-/** Decides at arrival whether a request can be served in time. */
+/** Admission control: rejects requests on arrival that cannot meet their deadline. */
 import { failure, type Failure, type RequestSpec } from '@comfreygrade/core'
-import type { ServiceClasses } from './service-classes.js'
+import type { ServiceTimeEstimator } from './service-time-estimator.js'
 import type { ServiceQueues } from './service-queues.js'
 import type { RoutingSettings } from './settings.js'
 
-/** Refuses requests whose wait alone would outlast their deadline. */
+/** Refuses requests whose expected wait and service time exceed the time left until their deadline. */
 export class Admission {
   readonly #settings: RoutingSettings
-  readonly #classes: ServiceClasses
+  readonly #serviceTimes: ServiceTimeEstimator
   readonly #queues: ServiceQueues
 
-  constructor (settings: RoutingSettings, classes: ServiceClasses, queues: ServiceQueues) {
+  constructor (settings: RoutingSettings, serviceTimes: ServiceTimeEstimator, queues: ServiceQueues) {
     this.#settings = settings
-    this.#classes = classes
+    this.#serviceTimes = serviceTimes
     this.#queues = queues
   }
 
   /**
-   * The refusal of a request that would come too late, or undefined. Without a queue every request is admitted, so a
-   * wrong estimate corrects itself as soon as the queue is empty.
+   * Returns the refusal of a request that would miss its deadline, or undefined if it is admitted. A request that does
+   * not have to wait is always admitted, so that a wrong estimate is corrected by new samples once the queue is empty.
    */
-  refusal (request: RequestSpec, weight: number, nowMs: number): Failure | undefined {
-    const serviceMs = this.#classes.typicalMs(request.requestClass)
-    const waitMs = this.waitMs(request, weight)
-    const lateMs = nowMs + waitMs + serviceMs - request.deadlineAtMs
-    if (waitMs === 0 || lateMs <= 0) return undefined
-    const detail = `expected wait ${Math.round(waitMs)} ms and service time ${Math.round(serviceMs)} ms, ` +
-      `${Math.round(request.deadlineAtMs - nowMs)} ms are left`
-    return failure('deadline_unreachable', detail, this.retryAfterMs(lateMs))
+  refusalFor (spec: RequestSpec, weight: number, nowMs: number): Failure | undefined {
+    const serviceTimeMs = this.#serviceTimes.typicalMs(spec.requestClass)
+    const expectedWaitMs = this.expectedWaitMs(spec, weight)
+    const latenessMs = nowMs + expectedWaitMs + serviceTimeMs - spec.deadlineAtMs
+    if (expectedWaitMs === 0 || latenessMs <= 0) return undefined
+    const detail = `expected wait ${Math.round(expectedWaitMs)} ms and service time ${Math.round(serviceTimeMs)} ms, ` +
+      `${Math.round(spec.deadlineAtMs - nowMs)} ms left before the deadline`
+    return failure('deadline_unreachable', detail, this.retryAfterMs(latenessMs))
   }
 
-  /** Expected wait of a request; 0 where nothing waits or nothing is known. */
-  waitMs (request: RequestSpec, weight: number): number {
-    const { organisationId, deadlineAtMs, requestClass } = request
-    const workClass = this.#classes.workClass(requestClass)
-    const item = { organisationId, workClass, deadlineAtMs, workMs: this.#classes.meanMs(requestClass) }
-    return this.#queues.of(request.service).requests.waitMs(item, weight) ?? 0
+  /** Expected time in the queue; 0 if the queue is empty or its service rate is not known yet. */
+  expectedWaitMs (spec: RequestSpec, weight: number): number {
+    const { organisationId, deadlineAtMs, requestClass } = spec
+    const workClass = this.#serviceTimes.workClass(requestClass)
+    const item = {
+      organisationId,
+      workClass,
+      deadlineAtMs,
+      expectedServiceTimeMs: this.#serviceTimes.meanMs(requestClass)
+    }
+    return this.#queues.getOrCreate(spec.service).requests.expectedWaitMs(item, weight) ?? 0
   }
 
-  /** Advice that a caller can rely on: the time after which the same request would be served in time. */
+  /** Retry advice for a delay after which the same request would be served in time, limited to the set bounds. */
   retryAfterMs (delayMs: number): number {
     const { minRetryAfterMs, maxRetryAfterMs } = this.#settings
     return Math.ceil(Math.min(maxRetryAfterMs, Math.max(minRetryAfterMs, delayMs)))
--- a/packages/routing/src/attempt-timing.ts
+++ b/packages/routing/src/attempt-timing.ts
@@ -1,40 +1,41 @@
-/** Timeouts of attempts and delays between them. */
+/** Attempt timeouts and retry backoff. */
 import type { Random } from '@comfreygrade/core'
 import type { OpenRequest } from './open-request.js'
-import type { ServiceClasses } from './service-classes.js'
+import type { ServiceTimeEstimator } from './service-time-estimator.js'
 import type { RoutingSettings } from './settings.js'
 
-/** Share of the remaining time for an attempt whose service time is not known, so that one more attempt fits. */
-const UNKNOWN_CLASS_SHARE = 0.5
+/** Part of the remaining time that an attempt gets without a service time estimate; the rest allows one retry. */
+const DEFAULT_TIMEOUT_SHARE = 0.5
 
-/** Decides how long an attempt may take and when the next one starts. */
+/** Computes the timeout of each attempt and the delay before the next one. */
 export class AttemptTiming {
   readonly #settings: RoutingSettings
-  readonly #classes: ServiceClasses
+  readonly #serviceTimes: ServiceTimeEstimator
   readonly #random: Random
 
-  constructor (settings: RoutingSettings, classes: ServiceClasses, random: Random) {
+  constructor (settings: RoutingSettings, serviceTimes: ServiceTimeEstimator, random: Random) {
     this.#settings = settings
-    this.#classes = classes
+    this.#serviceTimes = serviceTimes
     this.#random = random
   }
 
   /**
-   * End of an attempt. Only idempotent requests get less than their deadline. Each timeout doubles the next one, as
-   * the learned time may be too low.
+   * Time at which an attempt times out. Only idempotent requests time out before their deadline, as only they can be
+   * retried after a timeout. The timeout doubles after each timed-out attempt, because the estimate may be too low.
    */
-  timeoutAtMs (open: OpenRequest, nowMs: number): number {
-    const { deadlineAtMs, requestClass } = open.request
-    if (!open.isIdempotent) return deadlineAtMs
-    if (!this.#classes.isKnown(requestClass)) return nowMs + (deadlineAtMs - nowMs) * UNKNOWN_CLASS_SHARE
+  timeoutAtMs (request: OpenRequest, nowMs: number): number {
+    const { deadlineAtMs, requestClass } = request.spec
+    if (!request.isIdempotent) return deadlineAtMs
+    if (!this.#serviceTimes.hasEstimate(requestClass)) return nowMs + (deadlineAtMs - nowMs) * DEFAULT_TIMEOUT_SHARE
     const { attemptTimeoutMinMs, attemptTimeoutFactor } = this.#settings
-    const usualMs = Math.max(attemptTimeoutMinMs, attemptTimeoutFactor * this.#classes.typicalMs(requestClass))
-    return Math.min(deadlineAtMs, nowMs + usualMs * 2 ** open.timeouts)
+    const initialTimeoutMs =
+      Math.max(attemptTimeoutMinMs, attemptTimeoutFactor * this.#serviceTimes.typicalMs(requestClass))
+    return Math.min(deadlineAtMs, nowMs + initialTimeoutMs * 2 ** request.timeoutCount)
   }
 
   /** Exponential backoff with full jitter (Brooker, "Exponential Backoff And Jitter", 2015). */
-  backoffMs (attempts: number): number {
+  backoffMs (attemptCount: number): number {
     const { backoffBaseMs, backoffMaxMs } = this.#settings
-    return this.#random.nextFloat() * Math.min(backoffMaxMs, backoffBaseMs * 2 ** (attempts - 1))
+    return this.#random.nextFloat() * Math.min(backoffMaxMs, backoffBaseMs * 2 ** (attemptCount - 1))
   }
 }
--- a/packages/routing/src/deficit-round-robin.ts
+++ b/packages/routing/src/deficit-round-robin.ts
@@ -1,10 +1,10 @@
-/** Fair sharing between flows whose requests cost different amounts of time. */
+/** Weighted fair scheduling of flows whose requests have different costs. */
 
 interface Flow { readonly key: string, weight: number, deficitMs: number }
 
 /**
- * Deficit round robin (Shreedhar and Varghese, 1995). Rounds in which no flow could be served are skipped at once,
- * so that expensive requests do not cost many turns of the loop.
+ * Deficit round robin (Shreedhar and Varghese, 1995). Rounds in which no flow has enough credit are skipped in one
+ * step, so that selecting a flow with expensive requests takes no more iterations.
  *
  * @example
  * const flows = new DeficitRoundRobin(20)
@@ -21,12 +21,12 @@
     this.#quantumMs = quantumMs
   }
 
-  /** Adds a flow that has requests again. */
+  /** Adds a flow that has become non-empty. */
   add (key: string, weight: number): void {
     this.#flows.push({ key, weight, deficitMs: 0 })
   }
 
-  /** Removes a flow without requests; its deficit is lost, so that nobody saves up service. */
+  /** Removes a flow that has become empty. Its deficit is reset, so that an idle flow cannot accumulate credit. */
   remove (key: string): void {
     const index = this.#flows.findIndex(flow => flow.key === key)
     if (index < 0) return
@@ -35,50 +35,50 @@
   }
 
   /**
-   * The flow whose turn it is.
+   * Selects the flow to serve next, or undefined if no flow can be served.
    *
-   * @param costOf cost of a flow's first request, or undefined where it cannot be served now
+   * @param costOf cost of a flow's first request, or undefined if it cannot be served now
    */
   select (costOf: (key: string) => number | undefined): string | undefined {
     let rounds = Infinity
     for (let step = 0; step < this.#flows.length; step++) {
-      const missing = this.#missingRounds(this.#fromCursor(step), costOf)
-      if (missing === 0) return this.#moveTo(step).key
-      rounds = Math.min(rounds, missing)
+      const missingRounds = this.#roundsUntilAffordable(this.#flowAt(step), costOf)
+      if (missingRounds === 0) return this.#advanceCursor(step).key
+      rounds = Math.min(rounds, missingRounds)
     }
     return rounds === Infinity ? undefined : this.#skipRounds(rounds, costOf)
   }
 
-  /** Takes the cost of a request that was served. */
+  /** Deducts the cost of a served request from the deficit of its flow. */
   charge (key: string, costMs: number): void {
     const flow = this.#flows.find(each => each.key === key)
     if (flow !== undefined) flow.deficitMs -= costMs
   }
 
-  /** Gives every flow that can be served the quantum of several rounds, and turns to the first that then has enough. */
+  /** Credits every flow that can be served with several rounds and selects the first with enough credit. */
   #skipRounds (rounds: number, costOf: (key: string) => number | undefined): string | undefined {
-    let first: number | undefined
+    let firstEligibleStep: number | undefined
     for (let step = 0; step < this.#flows.length; step++) {
-      const flow = this.#fromCursor(step)
-      const missing = this.#missingRounds(flow, costOf)
-      if (missing === Infinity) continue
+      const flow = this.#flowAt(step)
+      const missingRounds = this.#roundsUntilAffordable(flow, costOf)
+      if (missingRounds === Infinity) continue
       flow.deficitMs += rounds * this.#quantumMs * flow.weight
-      if (missing <= rounds) first ??= step
+      if (missingRounds <= rounds) firstEligibleStep ??= step
     }
-    return first === undefined ? undefined : this.#moveTo(first).key
+    return firstEligibleStep === undefined ? undefined : this.#advanceCursor(firstEligibleStep).key
   }
 
-  #fromCursor (step: number): Flow {
+  #flowAt (step: number): Flow {
     return this.#flows[(this.#cursor + step) % this.#flows.length]!
   }
 
-  #moveTo (step: number): Flow {
+  #advanceCursor (step: number): Flow {
     this.#cursor = (this.#cursor + step) % this.#flows.length
     return this.#flows[this.#cursor]!
   }
 
-  /** Rounds until a flow may send its first request; Infinity where it cannot be served now. */
-  #missingRounds (flow: Flow, costOf: (key: string) => number | undefined): number {
+  /** Rounds until a flow has enough credit for its first request; Infinity if it cannot be served now. */
+  #roundsUntilAffordable (flow: Flow, costOf: (key: string) => number | undefined): number {
     const costMs = costOf(flow.key)
     if (costMs === undefined) return Infinity
     return Math.max(0, Math.ceil((costMs - flow.deficitMs) / (this.#quantumMs * flow.weight)))
--- a/packages/routing/src/dispatcher.ts
+++ b/packages/routing/src/dispatcher.ts
@@ -1,155 +1,171 @@
-/** Brings waiting requests and servers with room together. */
+/** Assigns waiting requests to backend servers with free capacity. */
 import { failure, type Failure, type Random } from '@comfreygrade/core'
 import type { Admission } from './admission.js'
-import type { LoadSharing } from './load-sharing.js'
+import type { LoadExchange } from './load-exchange.js'
 import type { OpenRequest } from './open-request.js'
 import type { RoutingPolicy, Selection } from './policy.js'
 import type { RequestQueue } from './request-queue.js'
-import type { ServerPool, ServerState } from './servers.js'
-import type { ServiceClasses, WorkClass } from './service-classes.js'
+import type { ServerPool, ServerState } from './server-pool.js'
+import type { ServiceTimeEstimator, WorkClass } from './service-time-estimator.js'
 import type { ServiceQueue, ServiceQueues } from './service-queues.js'
 import type { RoutingSettings } from './settings.js'
-import type { Timer, TimerHeap } from './timers.js'
+import type { Timer, TimerHeap } from './timer-heap.js'
 
-/** Parts of the router that the dispatcher works with. */
+/** Dependencies of the dispatcher. */
 export interface DispatcherOptions {
   readonly settings: RoutingSettings
   readonly policy: RoutingPolicy
   readonly random: Random
   readonly pool: ServerPool
   readonly queues: ServiceQueues
-  readonly classes: ServiceClasses
+  readonly serviceTimes: ServiceTimeEstimator
   readonly admission: Admission
-  readonly loadSharing: LoadSharing
+  readonly loadExchange: LoadExchange
   readonly timers: TimerHeap
-  /** Sends a request that has left its queue. */
-  readonly dispatch: (open: OpenRequest, server: ServerState, nowMs: number) => void
-  /** Ends a waiting request; the failure applies where no earlier attempt may have run. */
-  readonly refuse: (open: OpenRequest, notRun: Failure) => void
+  /** Sends a request that has been removed from its queue. */
+  readonly dispatch: (request: OpenRequest, server: ServerState, nowMs: number) => void
+  /** Refuses a waiting request; `notRunFailure` applies if no earlier attempt may have run. */
+  readonly refuse: (request: OpenRequest, notRunFailure: Failure) => void
 }
 
-type Choose = (selection: Selection) => ServerState | undefined
+type SelectServer = (selection: Selection) => ServerState | undefined
 
-/** Sends waiting requests when capacity changes; between such changes a blocked queue costs nothing. */
+/**
+ * Sends waiting requests when capacity changes. A class for which no server had capacity is blocked until the next
+ * change, so that a full system does not search all servers on every event.
+ */
 export class Dispatcher {
   readonly #options: DispatcherOptions
   readonly #freedServers = new Set<ServerState>()
-  #hasCapacityChanged = false
+  #isCapacityChanged = false
   #recheckTimer: Timer | undefined
 
   constructor (options: DispatcherOptions) {
     this.#options = options
   }
 
-  /** Whether requests wait for a `pump` after capacity or membership changed outside an event. */
-  get isPumpDue (): boolean {
+  /** Whether `dispatchWaiting` has to run because capacity or membership changed outside an event. */
+  get isDispatchDue (): boolean {
     const { pool, queues } = this.#options
-    return (this.#hasCapacityChanged || pool.isStale) && queues.size > 0
+    return (this.#isCapacityChanged || pool.isStale) && queues.size > 0
   }
 
-  /** Takes changes of the registry into account. */
-  refresh (): void {
+  /** Updates the server pool and the queues after changes of the registry. */
+  applyRegistryChanges (): void {
     const { pool, queues } = this.#options
     if (!pool.isStale) return
     pool.refresh()
-    queues.forgetUnused(service => pool.tiers(service).length > 0)
-    this.#hasCapacityChanged = true
+    queues.removeUnused(service => pool.tiersOf(service).length > 0)
+    this.#isCapacityChanged = true
   }
 
-  /** Any server may have room again. */
-  capacityChanged (): void {
-    this.#hasCapacityChanged = true
+  /** Records that any server may have gained capacity. */
+  markCapacityChanged (): void {
+    this.#isCapacityChanged = true
   }
 
-  /** One server has a slot more. */
-  slotFreed (server: ServerState): void {
+  /** Records that a slot of one server became free. */
+  markSlotFreed (server: ServerState): void {
     this.#freedServers.add(server)
   }
 
-  /** Sends a new request or lets it wait. */
-  add (open: OpenRequest, nowMs: number): void {
+  /** Sends a new request, or queues it if no server has capacity. */
+  submit (request: OpenRequest, nowMs: number): void {
     const { queues } = this.#options
-    const queue = queues.of(open.request.service)
-    if (queue.requests.sizeOf(open.workClass) === 0) queue.blocked.delete(open.workClass)
-    queues.push(open, open.weight, nowMs)
-    this.#pumpQueue(queue, nowMs)
-    if (queues.isOverfull) this.#refuseLargestShare(open.request.service)
+    const queue = queues.getOrCreate(request.spec.service)
+    if (queue.requests.sizeOf(request.workClass) === 0) queue.blockedClasses.delete(request.workClass)
+    queues.enqueue(request, request.weight, nowMs)
+    this.#dispatchFromQueue(queue, nowMs)
+    if (queues.isOverLimit) this.#refuseLargestShare(request.spec.service)
   }
 
-  /** Sends waiting requests to servers with room. */
-  pump (nowMs: number): void {
+  /** Sends waiting requests to servers whose capacity changed. */
+  dispatchWaiting (nowMs: number): void {
     const { queues } = this.#options
-    for (const server of this.#freedServers) this.#offer(server, nowMs)
+    for (const server of this.#freedServers) this.#dispatchToServer(server, nowMs)
     this.#freedServers.clear()
-    if (!this.#hasCapacityChanged) return
-    this.#hasCapacityChanged = false
-    queues.unblock()
-    for (const queue of queues.waiting()) this.#pumpQueue(queue, nowMs)
+    if (!this.#isCapacityChanged) return
+    this.#isCapacityChanged = false
+    queues.clearBlockedClasses()
+    for (const queue of queues.nonEmpty()) this.#dispatchFromQueue(queue, nowMs)
   }
 
-  #pumpQueue ({ requests, blocked }: ServiceQueue, nowMs: number): void {
+  #dispatchFromQueue ({ requests, blockedClasses }: ServiceQueue, nowMs: number): void {
     const { policy, random } = this.#options
-    this.#sendWaiting(requests, blocked, nowMs, selection => policy.choose(selection, random))
-    if (requests.size > 0) this.#recheckLater(nowMs)
+    this.#dispatchWhileCapacity(requests, blockedClasses, nowMs, selection => policy.choose(selection, random))
+    if (requests.size > 0) this.#scheduleRecheck(nowMs)
   }
 
-  /** A free slot goes to the request whose turn it is, without a search of all servers. */
-  #offer (server: ServerState, nowMs: number): void {
+  /** Fills the freed capacity of one server with waiting requests of its services, without searching other servers. */
+  #dispatchToServer (server: ServerState, nowMs: number): void {
     const { policy, queues } = this.#options
-    for (const service of server.known.record.services) {
+    for (const service of server.registration.record.services) {
       const queue = queues.find(service)
       if (queue === undefined || queue.requests.size === 0) continue
-      this.#sendWaiting(queue.requests, new Set(), nowMs, selection =>
+      this.#dispatchWhileCapacity(queue.requests, new Set(), nowMs, selection =>
         policy.accepts(server, selection) ? server : undefined)
     }
   }
 
-  #sendWaiting (requests: RequestQueue<OpenRequest>, blocked: Set<WorkClass>, nowMs: number, choose: Choose): void {
+  #dispatchWhileCapacity (
+    requests: RequestQueue<OpenRequest>, blockedClasses: Set<WorkClass>, nowMs: number, selectServer: SelectServer
+  ): void {
     const { queues, dispatch, refuse } = this.#options
-    for (let open = requests.first(blocked); open !== undefined; open = requests.first(blocked)) {
-      const server = choose(this.#selection(open, nowMs))
+    for (
+      let request = requests.peek(blockedClasses);
+      request !== undefined;
+      request = requests.peek(blockedClasses)
+    ) {
+      const server = selectServer(this.#selectionFor(request, nowMs))
       if (server === undefined) {
-        blocked.add(open.workClass)
-      } else if (this.#isTooLate(open, nowMs)) {
-        refuse(open, open.lateFailure())
+        blockedClasses.add(request.workClass)
+      } else if (this.#wouldMissDeadline(request, nowMs)) {
+        refuse(request, request.deadlineFailure())
       } else {
-        queues.take(open, nowMs)
-        dispatch(open, server, nowMs)
+        queues.dequeue(request, nowMs)
+        dispatch(request, server, nowMs)
       }
     }
   }
 
-  #selection (open: OpenRequest, nowMs: number): Selection {
-    const { pool, loadSharing } = this.#options
-    const { workClass, avoid, request, isIdempotent } = open
-    const tiers = pool.tiers(request.service)
-    return { tiers, workClass, isProbeWelcome: isIdempotent, avoid, entryVms: loadSharing.entryVms, nowMs }
+  #selectionFor (request: OpenRequest, nowMs: number): Selection {
+    const { pool, loadExchange } = this.#options
+    const { workClass, attemptedServerIds, spec, isIdempotent } = request
+    const tiers = pool.tiersOf(spec.service)
+    return {
+      tiers,
+      workClass,
+      isProbeSafe: isIdempotent,
+      attemptedServerIds,
+      entryVmCount: loadExchange.entryVmCount,
+      nowMs
+    }
   }
 
-  /** Work that would be answered after its deadline is not started, as it would take a slot from others. */
-  #isTooLate (open: OpenRequest, nowMs: number): boolean {
-    if (nowMs === open.queuedAtMs) return false
-    const { settings, classes } = this.#options
-    const neededMs = settings.startMarginFactor * classes.typicalMs(open.request.requestClass)
-    return nowMs + neededMs > open.deadlineAtMs
+  /** Whether a waiting request would be answered after its deadline; sending it would only take a slot from others. */
+  #wouldMissDeadline (request: OpenRequest, nowMs: number): boolean {
+    if (nowMs === request.queuedAtMs) return false
+    const { settings, serviceTimes } = this.#options
+    const requiredMs = settings.startMarginFactor * serviceTimes.typicalMs(request.spec.requestClass)
+    return nowMs + requiredMs > request.deadlineAtMs
   }
 
-  /** A full queue costs the organisation that holds most of it for its weight, not whoever comes next. */
+  /** Refuses a request of the organisation that holds most of the queue relative to its weight, not the newest one. */
   #refuseLargestShare (service: string): void {
     const { settings, queues, admission, refuse } = this.#options
-    const open = queues.of(service).requests.lastOfLargestShare()
-    if (open === undefined) return
-    const retryAfterMs = admission.retryAfterMs(admission.waitMs(open.request, open.weight))
-    const detail = `${settings.maxQueuedRequests} requests wait, which is the limit`
-    refuse(open, failure('queue_full', detail, retryAfterMs))
+    const request = queues.getOrCreate(service).requests.lastOfLargestShare()
+    if (request === undefined) return
+    const retryAfterMs = admission.retryAfterMs(admission.expectedWaitMs(request.spec, request.weight))
+    const detail = `the queue holds the maximum of ${settings.maxQueuedRequests} requests`
+    refuse(request, failure('queue_full', detail, retryAfterMs))
   }
 
-  /** Counts of peers decay without an event, so blocked queues are tried again after a while. */
-  #recheckLater (nowMs: number): void {
+  /** Counts reported by peers decay without an event, so blocked queues are checked again after `queueRecheckMs`. */
+  #scheduleRecheck (nowMs: number): void {
     const { settings, timers } = this.#options
     this.#recheckTimer ??= timers.set(nowMs + settings.queueRecheckMs, () => {
       this.#recheckTimer = undefined
-      this.#hasCapacityChanged = true
+      this.#isCapacityChanged = true
     })
   }
 }
--- a/packages/routing/src/ejection.ts
+++ b/packages/routing/src/ejection.ts
@@ -1,20 +1,21 @@
-/** Ejection of backend servers that fail, so that one that fails fast does not attract load. */
+/** Outlier ejection: a server that fails fast would otherwise look idle and attract load. */
 import type { RoutingSettings } from './settings.js'
 
-/** Whether a server may be chosen; a server whose probe is due gets a single request. */
+/** Health state of a server. A server in state `probe_due` may get a single request as a probe. */
 export type EjectionState = 'in_service' | 'ejected' | 'probe_due' | 'probing'
 
 /**
- * Health of one server: in service, ejected for a growing gap, then probed with one request.
+ * Health of one server. Consecutive failures eject it for a period that doubles with each recent ejection; one probe
+ * request then decides whether it returns to service.
  *
  * @example
  * const ejection = new Ejection(defaultRoutingSettings)
- * if (ejection.failed(nowMs, true)) wakeAt(ejection.endsAtMs)
+ * if (ejection.recordFailure(nowMs, true)) setTimer(ejection.endsAtMs)
  */
 export class Ejection {
   readonly #settings: RoutingSettings
-  #failuresInRow = 0
-  #ejections = 0
+  #consecutiveFailures = 0
+  #recentEjections = 0
   #endsAtMs = -Infinity
   #state: 'in_service' | 'ejected' | 'probing' = 'in_service'
   #failureLoad = 0
@@ -24,62 +25,61 @@
     this.#settings = settings
   }
 
-  /** When the present gap ends. */
+  /** When the last ejection period ends or ended. */
   get endsAtMs (): number {
     return this.#endsAtMs
   }
 
-  /** State at `nowMs`. */
   state (nowMs: number): EjectionState {
     return this.#state === 'ejected' && nowMs >= this.#endsAtMs ? 'probe_due' : this.#state
   }
 
-  /** Load that recent failures stand for, in requests. */
+  /** Load added for recent failures, in requests; it decays exponentially. */
   failureLoad (nowMs: number): number {
     if (this.#failureLoad === 0) return 0
     return this.#failureLoad * 0.5 ** ((nowMs - this.#failedAtMs) / this.#settings.failureLoadHalfLifeMs)
   }
 
-  /** Takes the dispatch of a request. */
-  dispatched (nowMs: number): void {
+  /** Records that a request was sent; if a probe was due, this request is the probe. */
+  recordDispatch (nowMs: number): void {
     if (this.state(nowMs) === 'probe_due') this.#state = 'probing'
   }
 
-  /** Takes a success; while the server is ejected, answers to earlier requests do not bring it back. */
-  succeeded (): void {
+  /** Records a success. Answers to requests sent before an ejection do not end the ejection. */
+  recordSuccess (): void {
     if (this.#state === 'ejected') return
-    this.#failuresInRow = 0
+    this.#consecutiveFailures = 0
     this.#state = 'in_service'
   }
 
   /**
-   * Takes a failure.
+   * Records a failure. A failed probe always ejects the server again.
    *
-   * @param isAllowed whether ejecting one more server is allowed
-   * @returns whether the server is ejected by it
+   * @param mayEject whether one more server may be ejected
+   * @returns whether this failure ejected the server
    */
-  failed (nowMs: number, isAllowed: boolean): boolean {
+  recordFailure (nowMs: number, mayEject: boolean): boolean {
     this.#failureLoad = this.failureLoad(nowMs) + this.#settings.failureLoadRequests
     this.#failedAtMs = nowMs
-    this.#failuresInRow++
+    this.#consecutiveFailures++
     if (this.#state === 'ejected') return false
     const isProbe = this.#state === 'probing'
-    if (!isProbe && (this.#failuresInRow < this.#settings.ejectAfterFailures || !isAllowed)) return false
+    if (!isProbe && (this.#consecutiveFailures < this.#settings.ejectAfterFailures || !mayEject)) return false
     this.#eject(nowMs)
     return true
   }
 
-  /** Takes the end of a request that says nothing about the server; a probe is then due again. */
-  undecided (): void {
+  /** Records a result that does not tell whether the server is healthy; if it was a probe, another probe is due. */
+  recordInconclusive (): void {
     if (this.#state === 'probing') this.#state = 'ejected'
   }
 
   #eject (nowMs: number): void {
     const { ejectionBaseMs, ejectionMaxMs, ejectionMemoryMs } = this.#settings
-    if (nowMs - this.#endsAtMs > ejectionMemoryMs) this.#ejections = 0
-    const gapMs = Math.min(ejectionMaxMs, ejectionBaseMs * 2 ** this.#ejections)
-    this.#ejections++
-    this.#endsAtMs = nowMs + gapMs
+    if (nowMs - this.#endsAtMs > ejectionMemoryMs) this.#recentEjections = 0
+    const ejectionMs = Math.min(ejectionMaxMs, ejectionBaseMs * 2 ** this.#recentEjections)
+    this.#recentEjections++
+    this.#endsAtMs = nowMs + ejectionMs
     this.#state = 'ejected'
   }
 }
--- a/packages/routing/src/events.ts
+++ b/packages/routing/src/events.ts
@@ -1,25 +1,25 @@
-/** What the request router is told and what it asks its front end to do. */
+/** Events and effects: the interface between the request router and its front end. */
 import type { BackendServerRecord, Failure, RequestSpec, SendProgress } from '@comfreygrade/core'
 
-/** How a backend server's answer counts for routing. */
-export type AnswerQuality = 'success' | 'server_error'
+/** Whether an answer of a backend server counts as a success. */
+export type AnswerStatus = 'success' | 'server_error'
 
 /** Why an attempt ended without an answer; also the tag of the `retry` counter. */
 export type AttemptFailureReason = 'connect_failed' | 'rejected' | 'connection_lost' | 'attempt_timeout'
 
-/** Whether a non-repeatable request may be dispatched; decided by the replicated log. */
+/** Whether a non-repeatable request with an idempotency key may be dispatched; decided through the replicated log. */
 export type ClaimDecision =
   | { readonly kind: 'granted' }
   | { readonly kind: 'refused', readonly failure: Failure }
 
-/** What is recorded about a claim once the request has ended. */
+/** Outcome recorded for a claim when its request ends. */
 export type ClaimOutcome = 'completed' | 'not_run' | 'unknown'
 
-/** Events of the router; all times are monotonic milliseconds of the same clock. */
+/** Input of the router; all times are milliseconds of the same monotonic clock. */
 export type RoutingEvent =
   | { readonly kind: 'arrived', readonly request: RequestSpec }
   | { readonly kind: 'claim_decided', readonly requestId: string, readonly decision: ClaimDecision }
-  | { readonly kind: 'answered', readonly requestId: string, readonly attempt: number, readonly quality: AnswerQuality }
+  | { readonly kind: 'answered', readonly requestId: string, readonly attempt: number, readonly quality: AnswerStatus }
   | {
     readonly kind: 'attempt_failed'
     readonly requestId: string
@@ -31,7 +31,7 @@
   | { readonly kind: 'drain_started' }
   | { readonly kind: 'tick' }
 
-/** Effects of the router. Each request gets exactly one `answer` or `refuse`. */
+/** Actions for the front end. Each request gets exactly one `answer` or `refuse`. */
 export type RoutingEffect =
   | { readonly kind: 'claim', readonly request: RequestSpec }
   | {
@@ -39,7 +39,7 @@
     readonly request: RequestSpec
     readonly attempt: number
     readonly backendServer: BackendServerRecord
-    /** The front end reports `attempt_timeout` when no answer is complete at this time. */
+    /** The front end reports `attempt_timeout` if the answer is not complete at this time. */
     readonly timeoutAtMs: number
   }
   | { readonly kind: 'answer', readonly requestId: string, readonly attempt: number }
--- a/packages/routing/src/open-request.ts
+++ b/packages/routing/src/open-request.ts
@@ -1,134 +1,140 @@
-/** One request between its arrival and its outcome, with everything that is known about its attempts. */
+/** State of one request from its arrival to its outcome, including its attempts. */
 import { failure, type Failure, type RequestSpec, type SendProgress } from '@comfreygrade/core'
 import type { AttemptFailureReason, ClaimOutcome } from './events.js'
 import type { QueueItem } from './request-queue.js'
-import type { ServerState } from './servers.js'
-import type { WorkClass } from './service-classes.js'
-import type { Timer } from './timers.js'
+import type { ServerState } from './server-pool.js'
+import type { WorkClass } from './service-time-estimator.js'
+import type { Timer } from './timer-heap.js'
 
-/** Why a request is repeated; also the tag of the `retry` counter. */
+/** Why a request is retried; also the tag of the `retry` counter. */
 export type RetryReason = AttemptFailureReason | 'server_error'
 
-/** Where a request is on its way. An ended request is kept while an attempt or a claim decision is outstanding. */
+/** Phase in the life cycle of a request. An ended request is kept while an attempt or a claim decision is pending. */
 export type RequestPhase = 'claiming' | 'queued' | 'backing_off' | 'running' | 'ended'
 
-/** State of the claim of a non-repeatable request. */
+/** State of the claim that a non-repeatable request with an idempotency key needs before its first attempt. */
 export type ClaimState = 'none' | 'pending' | 'granted' | 'settled'
 
-/** What is known about whether an attempt ran. */
+/** What is known about whether the backend server executed an attempt; `open` while the attempt is in flight. */
 export type AttemptResolution = 'open' | 'not_run' | 'may_have_run'
 
-/** One dispatch of a request. */
+/** One dispatch of a request to a backend server. */
 export interface Attempt {
-  readonly number: number
+  readonly attemptNumber: number
   readonly server: ServerState
   readonly workClass: WorkClass
   readonly startedAtMs: number
   resolution: AttemptResolution
-  reason?: RetryReason
+  failureReason?: RetryReason
   timer?: Timer
 }
 
-/** A request that has no outcome yet, or whose attempt or claim is still outstanding. */
+/** A request that has no outcome yet, or that has a pending attempt or claim decision. */
 export class OpenRequest implements QueueItem {
-  readonly request: RequestSpec
-  readonly avoid = new Set<string>()
+  readonly spec: RequestSpec
+  readonly attemptedServerIds = new Set<string>()
   phase: RequestPhase = 'queued'
   claim: ClaimState = 'none'
-  isCallerGone = false
-  isOutOfBudget = false
-  /** Weight of the organisation when the request began to wait. */
+  isCallerDisconnected = false
+  isRetryBudgetExhausted = false
+  /** Weight of the organisation when the request was queued. */
   weight = 1
   workClass: WorkClass = 'short'
-  workMs = 0
+  expectedServiceTimeMs = 0
   queuedAtMs = 0
   deadlineTimer?: Timer
   backoffTimer?: Timer
   readonly #attempts: Attempt[] = []
 
-  constructor (request: RequestSpec) {
-    this.request = request
+  constructor (spec: RequestSpec) {
+    this.spec = spec
   }
 
   get organisationId (): string {
-    return this.request.organisationId
+    return this.spec.organisationId
   }
 
   get deadlineAtMs (): number {
-    return this.request.deadlineAtMs
+    return this.spec.deadlineAtMs
   }
 
   get isIdempotent (): boolean {
-    return this.request.repeatability === 'idempotent'
+    return this.spec.repeatability === 'idempotent'
   }
 
-  /** Number of dispatches so far. */
-  get attempts (): number {
+  get attemptCount (): number {
     return this.#attempts.length
   }
 
-  /** Attempts that ended by their timeout. */
-  get timeouts (): number {
-    return this.#attempts.filter(attempt => attempt.reason === 'attempt_timeout').length
+  /** Number of attempts that timed out. */
+  get timeoutCount (): number {
+    return this.#attempts.filter(attempt => attempt.failureReason === 'attempt_timeout').length
   }
 
-  /** Whether any attempt ran or may still run; only where this is false may the caller be told "not run". */
+  /** Whether any attempt ran or may still run. Only if this is false may the outcome be reported as `not_run`. */
   get mayHaveRun (): boolean {
     return this.#attempts.some(attempt => attempt.resolution !== 'not_run')
   }
 
-  /** Whether another attempt can do no harm. */
-  get mayBeRepeated (): boolean {
+  /** Whether another attempt is safe: it cannot execute a non-repeatable request a second time. */
+  get mayRetry (): boolean {
     return this.isIdempotent || !this.mayHaveRun
   }
 
-  /** The attempt without a report, if any. */
+  /** The attempt whose result has not been reported yet, if any. */
   get openAttempt (): Attempt | undefined {
     const last = this.#attempts.at(-1)
     return last?.resolution === 'open' ? last : undefined
   }
 
-  /** The attempt of a number. */
-  attempt (number: number): Attempt | undefined {
-    return this.#attempts[number - 1]
+  /** The attempt with the given number, starting at 1. */
+  attemptByNumber (attemptNumber: number): Attempt | undefined {
+    return this.#attempts[attemptNumber - 1]
   }
 
-  /** Records a dispatch. */
-  begin (server: ServerState, nowMs: number): Attempt {
-    const number = this.#attempts.length + 1
-    const attempt: Attempt = { number, server, workClass: this.workClass, startedAtMs: nowMs, resolution: 'open' }
+  beginAttempt (server: ServerState, nowMs: number): Attempt {
+    const attemptNumber = this.#attempts.length + 1
+    const attempt: Attempt = {
+      attemptNumber,
+      server,
+      workClass: this.workClass,
+      startedAtMs: nowMs,
+      resolution: 'open'
+    }
     this.#attempts.push(attempt)
     this.phase = 'running'
     return attempt
   }
 
-  /** The failure to answer with where nothing better is known than the state of the attempts. */
-  endFailure (notRun: Failure): Failure {
-    if (!this.mayHaveRun) return notRun
-    const reason = this.#attempts.findLast(attempt => attempt.resolution === 'may_have_run')?.reason ?? 'attempt_timeout'
-    const detail = `attempt ended with ${reason} after the request may have been sent; it may have run`
+  /** The failure to report: `notRunFailure` if no attempt may have run, otherwise one that tells that it may have. */
+  outcomeFailure (notRunFailure: Failure): Failure {
+    if (!this.mayHaveRun) return notRunFailure
+    const reason =
+      this.#attempts.findLast(attempt => attempt.resolution === 'may_have_run')?.failureReason ?? 'attempt_timeout'
+    const detail = `attempt failed with ${reason} after the request may have been sent; it may have been executed`
     return failure(reason === 'server_error' ? 'backend_failed' : 'outcome_unknown', detail)
   }
 
-  /** The failure of a request that never ran and whose deadline passed or is too near. */
-  lateFailure (): Failure {
-    if (this.isOutOfBudget) return failure('retry_budget_exhausted', 'no retry was left before the deadline')
-    if (this.attempts > 0) return failure('backend_unreachable', `${this.attempts} attempts ended before the work ran`)
-    return failure('deadline_exceeded', `the deadline passed while the request was ${this.phase}`)
+  /** The failure of a request that never ran and whose deadline has passed or can no longer be met. */
+  deadlineFailure (): Failure {
+    if (this.isRetryBudgetExhausted) return failure('retry_budget_exhausted', 'the retry budget stayed empty until the deadline')
+    if (this.attemptCount > 0) return failure('backend_unreachable', `${this.attemptCount} attempts failed before the request was executed`)
+    return failure('deadline_exceeded', `the deadline passed or could no longer be met while the request was in phase ${this.phase}`)
   }
 
-  /** What is recorded about the claim when the request ends without a successful answer. */
+  /** Outcome to record for the claim if the request ends without a successful answer. */
   get claimOutcome (): ClaimOutcome {
     return this.mayHaveRun ? 'unknown' : 'not_run'
   }
 }
 
 /**
- * What a failed attempt proves. A rejection is the backend server's own statement that it did not run the work.
+ * Whether a failed attempt may have run. With a rejection, the backend server itself states that it did not run the
+ * request.
  *
  * @example
- * resolutionOf('maybe_sent', 'rejected') // 'not_run'
+ * resolutionOfFailure('maybe_sent', 'rejected') // 'not_run'
  */
-export function resolutionOf (progress: SendProgress, reason: AttemptFailureReason): AttemptResolution {
+export function resolutionOfFailure (progress: SendProgress, reason: AttemptFailureReason): AttemptResolution {
   return progress === 'not_sent' || reason === 'rejected' ? 'not_run' : 'may_have_run'
 }
--- a/packages/routing/src/policy.ts
+++ b/packages/routing/src/policy.ts
@@ -1,31 +1,35 @@
-/** Choice of a backend server for one request. */
+/** Policies that select a backend server for a request. */
 import type { Random } from '@comfreygrade/core'
-import type { ServerState, ServerTiers } from './servers.js'
-import type { WorkClass } from './service-classes.js'
+import type { ServerState, LocalityTiers } from './server-pool.js'
+import type { WorkClass } from './service-time-estimator.js'
 
-/** What a policy knows about the request and the servers of its service. */
+/** Input of a policy: the request, the servers of its service and the current time. */
 export interface Selection {
-  readonly tiers: ServerTiers
+  readonly tiers: LocalityTiers
   readonly workClass: WorkClass
-  /** Whether the request may probe a server that failed; other requests do so only where nothing else has room. */
-  readonly isProbeWelcome: boolean
-  /** Servers that earlier attempts failed on; used only where nothing else has room. */
-  readonly avoid: ReadonlySet<string>
-  /** Entry VMs that share the servers, this one included. */
-  readonly entryVms: number
+  /**
+   * Whether the request is safe to use as the probe of an ejected server, as it can be retried. Other requests are used
+   * only if no other server has capacity.
+   */
+  readonly isProbeSafe: boolean
+  /** Servers on which earlier attempts failed; used again only if no other server has capacity. */
+  readonly attemptedServerIds: ReadonlySet<string>
+  /** Number of entry VMs that share the servers, including this one. */
+  readonly entryVmCount: number
   readonly nowMs: number
 }
 
-/** Decides which backend server gets a request, or that the request waits. */
+/** Decides which backend server gets a request, or that the request has to wait. */
 export abstract class RoutingPolicy {
-  /** The server for a request, or undefined while none may take it. */
+  /** Returns the server for a request, or undefined if no server can take it now. */
   abstract choose (selection: Selection, random: Random): ServerState | undefined
-  /** Whether a server on which a slot became free may take a waiting request. */
+  /** Whether a server with a freed slot may take a waiting request. */
   abstract accepts (server: ServerState, selection: Selection): boolean
 }
 
 /**
- * Nearest tier with room; within it the less loaded of a few random servers (power of two choices; Mitzenmacher, 2001).
+ * Prefers the nearest locality tier with capacity, and within it the least loaded of a few random servers (power of two
+ * choices; Mitzenmacher, 2001).
  *
  * @example
  * const policy = new LocalityPolicy(defaultRoutingSettings.randomChoices)
@@ -39,42 +43,42 @@
   }
 
   override choose (selection: Selection, random: Random): ServerState | undefined {
-    return this.#chooseByTier(selection, random, isPreferred) ?? this.#chooseByTier(selection, random, isUsable)
+    return this.#chooseByTier(selection, random, isPreferred) ?? this.#chooseByTier(selection, random, isAvailable)
   }
 
   override accepts (server: ServerState, selection: Selection): boolean {
     return isPreferred(server, selection)
   }
 
-  #chooseByTier (selection: Selection, random: Random, accepts: Accepts): ServerState | undefined {
+  #chooseByTier (selection: Selection, random: Random, filter: ServerFilter): ServerState | undefined {
     for (const tier of selection.tiers) {
-      const chosen = this.#chooseInTier(tier, selection, random, accepts)
+      const chosen = this.#chooseInTier(tier, selection, random, filter)
       if (chosen !== undefined) return chosen
     }
     return undefined
   }
 
-  /** Where the random servers have no room, the rest of the tier is searched from a random position. */
+  /** If none of the random servers has capacity, searches the whole tier from a random position. */
   #chooseInTier (
-    tier: readonly ServerState[], selection: Selection, random: Random, accepts: Accepts
+    tier: readonly ServerState[], selection: Selection, random: Random, filter: ServerFilter
   ): ServerState | undefined {
     if (tier.length === 0) return undefined
     let best: ServerState | undefined
-    for (let choice = 0; choice < this.#randomChoices; choice++) {
+    for (let draw = 0; draw < this.#randomChoices; draw++) {
       const server = tier[random.nextInt(0, tier.length - 1)]!
-      if (accepts(server, selection)) best = lessLoaded(best, server, selection.nowMs)
+      if (filter(server, selection)) best = lessLoaded(best, server, selection.nowMs)
     }
-    return best ?? firstFrom(tier, random.nextInt(0, tier.length - 1), server => accepts(server, selection))
+    return best ?? findFrom(tier, random.nextInt(0, tier.length - 1), server => filter(server, selection))
   }
 }
 
-/** Baseline: every serving server in turn, without limits, distance or health. */
+/** Baseline for comparisons: round robin over all serving servers, regardless of limits, locality and health. */
 export class RoundRobinPolicy extends RoutingPolicy {
-  #next = 0
+  #nextIndex = 0
 
   override choose (selection: Selection): ServerState | undefined {
     const servers = selection.tiers.flat().filter(server => server.isServing(selection.nowMs))
-    return servers[this.#next++ % servers.length]
+    return servers[this.#nextIndex++ % servers.length]
   }
 
   override accepts (server: ServerState, selection: Selection): boolean {
@@ -82,29 +86,29 @@
   }
 }
 
-type Accepts = (server: ServerState, selection: Selection) => boolean
+type ServerFilter = (server: ServerState, selection: Selection) => boolean
 
-function isUsable (server: ServerState, selection: Selection): boolean {
-  const { workClass, entryVms, nowMs } = selection
-  if (!server.hasRoom(workClass, entryVms, nowMs) || !server.isServing(nowMs)) return false
+function isAvailable (server: ServerState, selection: Selection): boolean {
+  const { workClass, entryVmCount, nowMs } = selection
+  if (!server.hasCapacity(workClass, entryVmCount, nowMs) || !server.isServing(nowMs)) return false
   const state = server.ejection.state(nowMs)
   return state === 'in_service' || state === 'probe_due'
 }
 
 function isPreferred (server: ServerState, selection: Selection): boolean {
-  if (selection.avoid.has(server.id)) return false
-  if (!selection.isProbeWelcome && server.ejection.state(selection.nowMs) === 'probe_due') return false
-  return isUsable(server, selection)
+  if (selection.attemptedServerIds.has(server.id)) return false
+  if (!selection.isProbeSafe && server.ejection.state(selection.nowMs) === 'probe_due') return false
+  return isAvailable(server, selection)
 }
 
 function lessLoaded (left: ServerState | undefined, right: ServerState, nowMs: number): ServerState {
   return left !== undefined && left.load(nowMs) <= right.load(nowMs) ? left : right
 }
 
-function firstFrom<T> (items: readonly T[], start: number, accepts: (item: T) => boolean): T | undefined {
+function findFrom<T> (items: readonly T[], start: number, predicate: (item: T) => boolean): T | undefined {
   for (let step = 0; step < items.length; step++) {
     const item = items[(start + step) % items.length]!
-    if (accepts(item)) return item
+    if (predicate(item)) return item
   }
   return undefined
 }
--- a/packages/routing/src/request-queue.ts
+++ b/packages/routing/src/request-queue.ts
@@ -1,23 +1,22 @@
-/** Requests of one service that wait for a slot. */
-import { BusyRate } from './busy-rate.js'
+/** Queue of the requests of one service that wait for capacity. */
+import { ServiceRateEstimator } from './service-rate-estimator.js'
 import { DeficitRoundRobin } from './deficit-round-robin.js'
-import type { WorkClass } from './service-classes.js'
+import type { WorkClass } from './service-time-estimator.js'
 import type { RoutingSettings } from './settings.js'
 
-/** What the queue has to know about a waiting request. */
+/** Properties of a request that determine its position in the queue. */
 export interface QueueItem {
   readonly organisationId: string
   readonly workClass: WorkClass
   readonly deadlineAtMs: number
-  /** Expected service time. */
-  readonly workMs: number
+  readonly expectedServiceTimeMs: number
 }
 
-/** Requests of one organisation in order of deadline. */
+/** Requests of one organisation and class, earliest deadline first. */
 class OrganisationQueue<Item extends QueueItem> {
   readonly weight: number
   readonly #items: Item[] = []
-  #workMs = 0
+  #totalServiceTimeMs = 0
 
   constructor (weight: number) {
     this.weight = weight
@@ -27,9 +26,9 @@
     return this.#items.length
   }
 
-  /** Work of all waiting requests. */
-  get workMs (): number {
-    return this.#workMs
+  /** Expected service time of all requests in the queue. */
+  get totalServiceTimeMs (): number {
+    return this.#totalServiceTimeMs
   }
 
   get first (): Item | undefined {
@@ -40,26 +39,27 @@
     return this.#items.at(-1)
   }
 
-  push (item: Item): void {
-    this.#items.splice(this.#firstAfter(item.deadlineAtMs), 0, item)
-    this.#workMs += item.workMs
+  enqueue (item: Item): void {
+    this.#items.splice(this.#insertionIndex(item.deadlineAtMs), 0, item)
+    this.#totalServiceTimeMs += item.expectedServiceTimeMs
   }
 
   remove (item: Item): boolean {
-    const end = this.#firstAfter(item.deadlineAtMs)
+    const end = this.#insertionIndex(item.deadlineAtMs)
     const index = this.#items.lastIndexOf(item, end)
     if (index < 0) return false
     this.#items.splice(index, 1)
-    this.#workMs -= item.workMs
+    this.#totalServiceTimeMs -= item.expectedServiceTimeMs
     return true
   }
 
-  /** Work that is served before a new request of this deadline. */
-  workBefore (deadlineAtMs: number): number {
-    return this.size === 0 ? 0 : this.#workMs * this.#firstAfter(deadlineAtMs) / this.size
+  /** Estimated service time of the requests that would be served before a new request with the given deadline. */
+  serviceTimeAheadMs (deadlineAtMs: number): number {
+    return this.size === 0 ? 0 : this.#totalServiceTimeMs * this.#insertionIndex(deadlineAtMs) / this.size
   }
 
-  #firstAfter (deadlineAtMs: number): number {
+  /** Position after all requests with the same or an earlier deadline, found by binary search. */
+  #insertionIndex (deadlineAtMs: number): number {
     let low = 0
     let high = this.#items.length
     while (low < high) {
@@ -71,135 +71,140 @@
   }
 }
 
-/** Requests of one class, fair between organisations. */
+/** Requests of one class, shared fairly between organisations. */
 class ClassQueue<Item extends QueueItem> {
-  readonly #organisations = new Map<string, OrganisationQueue<Item>>()
-  readonly #turns: DeficitRoundRobin
-  readonly #rate: BusyRate
+  readonly #queuesByOrganisation = new Map<string, OrganisationQueue<Item>>()
+  readonly #scheduler: DeficitRoundRobin
+  readonly #serviceRate: ServiceRateEstimator
   size = 0
 
   constructor (settings: RoutingSettings) {
-    this.#turns = new DeficitRoundRobin(settings.quantumMs)
-    this.#rate = new BusyRate(settings.rateWindowMs)
+    this.#scheduler = new DeficitRoundRobin(settings.quantumMs)
+    this.#serviceRate = new ServiceRateEstimator(settings.rateWindowMs)
   }
 
-  push (item: Item, weight: number, nowMs: number): void {
-    if (this.size++ === 0) this.#rate.becameBusy(nowMs)
-    let queue = this.#organisations.get(item.organisationId)
+  enqueue (item: Item, weight: number, nowMs: number): void {
+    if (this.size++ === 0) this.#serviceRate.startWindow(nowMs)
+    let queue = this.#queuesByOrganisation.get(item.organisationId)
     if (queue === undefined) {
       queue = new OrganisationQueue(weight)
-      this.#organisations.set(item.organisationId, queue)
-      this.#turns.add(item.organisationId, weight)
+      this.#queuesByOrganisation.set(item.organisationId, queue)
+      this.#scheduler.add(item.organisationId, weight)
     }
-    queue.push(item)
+    queue.enqueue(item)
   }
 
-  /** The request whose turn it is; it stays in the queue. */
-  first (): Item | undefined {
-    const organisationId = this.#turns.select(key => this.#organisations.get(key)?.first?.workMs)
-    return organisationId === undefined ? undefined : this.#organisations.get(organisationId)?.first
+  /** Returns the request to serve next without removing it. */
+  peek (): Item | undefined {
+    const organisationId =
+      this.#scheduler.select(key => this.#queuesByOrganisation.get(key)?.first?.expectedServiceTimeMs)
+    return organisationId === undefined ? undefined : this.#queuesByOrganisation.get(organisationId)?.first
   }
 
-  /** Removes a request that goes to a server. */
-  take (item: Item, nowMs: number): void {
-    this.#turns.charge(item.organisationId, item.workMs)
-    this.#rate.took(item.workMs, nowMs)
+  /** Removes a request to send it to a server, and charges its cost to its organisation. */
+  dequeue (item: Item, nowMs: number): void {
+    this.#scheduler.charge(item.organisationId, item.expectedServiceTimeMs)
+    this.#serviceRate.recordDequeue(item.expectedServiceTimeMs, nowMs)
     this.remove(item)
   }
 
   remove (item: Item): void {
-    const queue = this.#organisations.get(item.organisationId)
+    const queue = this.#queuesByOrganisation.get(item.organisationId)
     if (queue === undefined || !queue.remove(item)) return
     this.size--
     if (queue.size > 0) return
-    this.#organisations.delete(item.organisationId)
-    this.#turns.remove(item.organisationId)
+    this.#queuesByOrganisation.delete(item.organisationId)
+    this.#scheduler.remove(item.organisationId)
   }
 
-  /** Expected wait of a new request, or undefined where nothing is known. */
-  waitMs (organisationId: string, weight: number, deadlineAtMs: number): number | undefined {
-    const rate = this.#rate.workMsPerMs
+  /** Expected wait of a new request, or undefined if the queue is empty or its service rate is not known yet. */
+  expectedWaitMs (organisationId: string, weight: number, deadlineAtMs: number): number | undefined {
+    const rate = this.#serviceRate.serviceMsPerMs
     if (this.size === 0 || rate === undefined) return undefined
-    const ownMs = this.#organisations.get(organisationId)?.workBefore(deadlineAtMs) ?? 0
-    return (ownMs + this.#workOfOthers(organisationId, ownMs / weight)) / Math.max(rate, Number.MIN_VALUE)
+    const ownMs = this.#queuesByOrganisation.get(organisationId)?.serviceTimeAheadMs(deadlineAtMs) ?? 0
+    return (ownMs + this.#competingServiceTimeMs(organisationId, ownMs / weight)) / Math.max(rate, Number.MIN_VALUE)
   }
 
-  /** Work that other organisations are served meanwhile: their share by weight, but not more than they have waiting. */
-  #workOfOthers (organisationId: string, workMsPerWeight: number): number {
+  /**
+   * Service time that other organisations get while this one gets `serviceTimeMsPerWeight` times its weight: their
+   * share by weight, but no more than they have in the queue.
+   */
+  #competingServiceTimeMs (organisationId: string, serviceTimeMsPerWeight: number): number {
     let sumMs = 0
-    for (const [id, queue] of this.#organisations) {
-      if (id !== organisationId) sumMs += Math.min(queue.workMs, workMsPerWeight * queue.weight)
+    for (const [id, queue] of this.#queuesByOrganisation) {
+      if (id !== organisationId) sumMs += Math.min(queue.totalServiceTimeMs, serviceTimeMsPerWeight * queue.weight)
     }
     return sumMs
   }
 
-  /** Organisations with their share of the queue relative to their weight. */
-  * shares (): Generator<{ share: number, last: Item }> {
-    for (const queue of this.#organisations.values()) {
+  /** Yields each organisation's queue size relative to its weight, with its request of the latest deadline. */
+  * relativeShares (): Generator<{ share: number, last: Item }> {
+    for (const queue of this.#queuesByOrganisation.values()) {
       if (queue.last !== undefined) yield { share: queue.size / queue.weight, last: queue.last }
     }
   }
 }
 
 /**
- * Queue of one service: by deadline within an organisation, fair by weight between organisations, and by least laxity
- * between short and long work. Long work has distant deadlines, so it gives way during a peak and runs afterwards.
+ * Queue of one service: earliest deadline first within an organisation, weighted fair between organisations, and least
+ * laxity first between short and long classes. Long requests have distant deadlines, so they wait during a load peak
+ * and are served after it.
  *
  * @example
- * queue.push(item, 1, nowMs)
- * const next = queue.first(new Set())
- * if (next !== undefined) queue.take(next, nowMs)
+ * queue.enqueue(item, 1, nowMs)
+ * const next = queue.peek(new Set())
+ * if (next !== undefined) queue.dequeue(next, nowMs)
  */
 export class RequestQueue<Item extends QueueItem> {
-  readonly #classes: Readonly<Record<WorkClass, ClassQueue<Item>>>
+  readonly #queuesByClass: Readonly<Record<WorkClass, ClassQueue<Item>>>
 
   constructor (settings: RoutingSettings) {
-    this.#classes = { short: new ClassQueue(settings), long: new ClassQueue(settings) }
+    this.#queuesByClass = { short: new ClassQueue(settings), long: new ClassQueue(settings) }
   }
 
   /** Number of waiting requests. */
   get size (): number {
-    return this.#classes.short.size + this.#classes.long.size
+    return this.#queuesByClass.short.size + this.#queuesByClass.long.size
   }
 
   /** Number of waiting requests of a class. */
   sizeOf (workClass: WorkClass): number {
-    return this.#classes[workClass].size
+    return this.#queuesByClass[workClass].size
   }
 
-  /** Adds a request of an organisation of `weight`. */
-  push (item: Item, weight: number, nowMs: number): void {
-    this.#classes[item.workClass].push(item, weight, nowMs)
+  /** Adds a request of an organisation with the given weight. */
+  enqueue (item: Item, weight: number, nowMs: number): void {
+    this.#queuesByClass[item.workClass].enqueue(item, weight, nowMs)
   }
 
-  /** The request whose turn it is, of a class that is not blocked; it stays in the queue. */
-  first (blocked: ReadonlySet<WorkClass>): Item | undefined {
-    const short = blocked.has('short') ? undefined : this.#classes.short.first()
-    const long = blocked.has('long') ? undefined : this.#classes.long.first()
+  /** Returns the request to serve next, of a class that is not blocked, without removing it. */
+  peek (blockedClasses: ReadonlySet<WorkClass>): Item | undefined {
+    const short = blockedClasses.has('short') ? undefined : this.#queuesByClass.short.peek()
+    const long = blockedClasses.has('long') ? undefined : this.#queuesByClass.long.peek()
     if (short === undefined || long === undefined) return short ?? long
-    return latestStartMs(long) < latestStartMs(short) ? long : short
+    return latestStartAtMs(long) < latestStartAtMs(short) ? long : short
   }
 
-  /** Removes a request that goes to a server. */
-  take (item: Item, nowMs: number): void {
-    this.#classes[item.workClass].take(item, nowMs)
+  /** Removes a request to send it to a server. */
+  dequeue (item: Item, nowMs: number): void {
+    this.#queuesByClass[item.workClass].dequeue(item, nowMs)
   }
 
-  /** Removes a request that no longer waits. */
+  /** Removes a request that ended while it was queued. */
   remove (item: Item): void {
-    this.#classes[item.workClass].remove(item)
+    this.#queuesByClass[item.workClass].remove(item)
   }
 
-  /** Expected wait of a new request, or undefined where nothing is known. */
-  waitMs (item: QueueItem, weight: number): number | undefined {
-    return this.#classes[item.workClass].waitMs(item.organisationId, weight, item.deadlineAtMs)
+  /** Expected wait of a new request, or undefined if its class is empty or the service rate is not known yet. */
+  expectedWaitMs (item: QueueItem, weight: number): number | undefined {
+    return this.#queuesByClass[item.workClass].expectedWaitMs(item.organisationId, weight, item.deadlineAtMs)
   }
 
-  /** The last request of the organisation that holds most of the queue relative to its weight. */
+  /** Returns the request with the latest deadline of the organisation with the largest queue relative to its weight. */
   lastOfLargestShare (): Item | undefined {
     let largest: { share: number, last: Item } | undefined
-    for (const queue of [this.#classes.short, this.#classes.long]) {
-      for (const each of queue.shares()) {
+    for (const queue of [this.#queuesByClass.short, this.#queuesByClass.long]) {
+      for (const each of queue.relativeShares()) {
         if (largest === undefined || each.share > largest.share) largest = each
       }
     }
@@ -207,7 +212,7 @@
   }
 }
 
-/** Time at which a request has to start to end in time. */
-function latestStartMs (item: QueueItem): number {
-  return item.deadlineAtMs - item.workMs
+/** Latest time at which a request can be sent and still meet its deadline. */
+function latestStartAtMs (item: QueueItem): number {
+  return item.deadlineAtMs - item.expectedServiceTimeMs
 }
--- a/packages/routing/src/router.ts
+++ b/packages/routing/src/router.ts
@@ -1,41 +1,43 @@
-/** Decides what happens to each short request of one entry VM. */
+/** Routing of the requests of one entry VM to backend servers. */
 import {
   failure, type Failure, type Metrics, type Random, type RequestSpec, type SendProgress
 } from '@comfreygrade/core'
 import { Admission } from './admission.js'
 import { AttemptTiming } from './attempt-timing.js'
-import type { AnswerQuality, AttemptFailureReason, ClaimDecision, ClaimOutcome, RoutingEffect, RoutingEvent } from './events.js'
+import type { AnswerStatus, AttemptFailureReason, ClaimDecision, ClaimOutcome, RoutingEffect, RoutingEvent } from './events.js'
 import { Dispatcher } from './dispatcher.js'
-import { LoadSharing } from './load-sharing.js'
-import { OpenRequest, resolutionOf, type Attempt, type AttemptResolution, type RetryReason } from './open-request.js'
+import { LoadExchange } from './load-exchange.js'
+import { OpenRequest, resolutionOfFailure, type Attempt, type AttemptResolution, type RetryReason } from './open-request.js'
 import type { LoadReport } from './peer-load.js'
 import type { RoutingPolicy } from './policy.js'
 import type { BackendRegistry } from './registry.js'
-import { RetryBudgets } from './retry-budget.js'
-import { ServerObserver } from './server-observer.js'
-import { ServerPool, type Location, type ServerState } from './servers.js'
-import { ServiceClasses } from './service-classes.js'
+import { RetryBudgets } from './retry-budgets.js'
+import { AttemptObserver } from './attempt-observer.js'
+import { ServerPool, type Location, type ServerState } from './server-pool.js'
+import { ServiceTimeEstimator } from './service-time-estimator.js'
 import { ServiceQueues } from './service-queues.js'
 import type { RoutingSettings } from './settings.js'
-import { TimerHeap } from './timers.js'
+import { TimerHeap } from './timer-heap.js'
 
-/** What a router needs. */
+/** Dependencies of a router. */
 export interface RequestRouterOptions {
   readonly settings: RoutingSettings
   readonly registry: BackendRegistry
   readonly policy: RoutingPolicy
   readonly random: Random
   readonly metrics: Metrics
-  /** Where the entry VM stands; nearer backend servers are preferred. */
+  /** Location of the entry VM; nearer backend servers are preferred. */
   readonly location: Location
 }
 
 /**
- * Routes short requests to backend servers; deterministic, driven by events. After each call of `handle` or `peerLoad`
- * and after each change of the registry, the front end sets its timer to `nextWakeAtMs` and then sends a `tick`.
+ * Routes requests to backend servers. The router is a deterministic state machine: it gets events and returns effects.
+ * After each event, load report of a peer and change of the registry, the front end sets its timer to `nextWakeAtMs`;
+ * when the timer fires, it sends a `tick`.
  *
  * The front end gives every request an ID that no other open request has, answers every `claim` with `claim_decided`
- * and reports the end of every `dispatch`; a report that is missing is replaced by a timeout, a decision is not.
+ * and reports the end of every `dispatch`. The router replaces a missing report by a timeout, but waits for a claim
+ * decision without limit.
  *
  * @example
  * const router = new RequestRouter({ settings, registry, policy, random, metrics, location })
@@ -46,292 +48,302 @@
   readonly #settings: RoutingSettings
   readonly #metrics: Metrics
   readonly #pool: ServerPool
-  readonly #classes: ServiceClasses
+  readonly #serviceTimes: ServiceTimeEstimator
   readonly #queues: ServiceQueues
   readonly #admission: Admission
-  readonly #timing: AttemptTiming
-  readonly #budgets: RetryBudgets
-  readonly #observer: ServerObserver
-  readonly #loadSharing: LoadSharing
+  readonly #attemptTiming: AttemptTiming
+  readonly #retryBudgets: RetryBudgets
+  readonly #attemptObserver: AttemptObserver
+  readonly #loadExchange: LoadExchange
   readonly #dispatcher: Dispatcher
   readonly #timers = new TimerHeap()
   readonly #requests = new Map<string, OpenRequest>()
   #weights: ReadonlyMap<string, number> = new Map()
   #effects: RoutingEffect[] = []
-  #unfinished = 0
+  #openRequestCount = 0
   #isDraining = false
-  #handledAtMs = 0
+  #lastEventAtMs = 0
 
   constructor (options: RequestRouterOptions) {
     const { settings, registry, policy, random, metrics, location } = options
     this.#settings = settings
     this.#metrics = metrics
     this.#pool = new ServerPool(registry, settings, location)
-    this.#classes = new ServiceClasses(settings)
+    this.#serviceTimes = new ServiceTimeEstimator(settings)
     this.#queues = new ServiceQueues(settings)
-    this.#admission = new Admission(settings, this.#classes, this.#queues)
-    this.#timing = new AttemptTiming(settings, this.#classes, random)
-    this.#budgets = new RetryBudgets(settings)
-    this.#observer = new ServerObserver(settings, this.#pool, this.#classes)
-    this.#loadSharing = new LoadSharing(settings, this.#pool)
+    this.#admission = new Admission(settings, this.#serviceTimes, this.#queues)
+    this.#attemptTiming = new AttemptTiming(settings, this.#serviceTimes, random)
+    this.#retryBudgets = new RetryBudgets(settings)
+    this.#attemptObserver = new AttemptObserver(settings, this.#pool, this.#serviceTimes)
+    this.#loadExchange = new LoadExchange(settings, this.#pool)
     this.#dispatcher = new Dispatcher({
       settings,
       policy,
       random,
       pool: this.#pool,
       queues: this.#queues,
-      classes: this.#classes,
+      serviceTimes: this.#serviceTimes,
       admission: this.#admission,
-      loadSharing: this.#loadSharing,
+      loadExchange: this.#loadExchange,
       timers: this.#timers,
-      dispatch: (open, server, nowMs) => this.#dispatch(open, server, nowMs),
-      refuse: (open, notRun) => this.#refuse(open, open.endFailure(notRun))
+      dispatch: (request, server, nowMs) => this.#dispatch(request, server, nowMs),
+      refuse: (request, notRunFailure) => this.#refuse(request, request.outcomeFailure(notRunFailure))
     })
   }
 
-  /** Requests without an outcome, or whose claim decision is outstanding; 0 ends a drain. */
+  /** Number of requests without an outcome or with a pending claim decision; a drain is complete when it is 0. */
   get openRequests (): number {
-    return this.#unfinished
+    return this.#openRequestCount
   }
 
-  /** Requests that wait for a slot. */
+  /** Number of requests that wait for capacity. */
   get queuedRequests (): number {
     return this.#queues.size
   }
 
-  /** Takes the weights of all organisations; requests of others are refused. */
+  /** Sets the weights of all organisations; requests of other organisations are refused. */
   setOrganisations (weights: ReadonlyMap<string, number>): void {
     this.#weights = new Map(weights)
-    this.#budgets.keepOnly(weights)
+    this.#retryBudgets.retainOrganisations(weights)
   }
 
-  /** Handles one event and returns what the front end has to do, in order. */
+  /** Handles one event and returns the effects for the front end, in order. */
   handle (event: RoutingEvent, nowMs: number): RoutingEffect[] {
     this.#effects = []
-    this.#handledAtMs = nowMs
-    this.#dispatcher.refresh()
+    this.#lastEventAtMs = nowMs
+    this.#dispatcher.applyRegistryChanges()
     this.#apply(event, nowMs)
     this.#timers.fireDue(nowMs)
-    this.#dispatcher.pump(nowMs)
+    this.#dispatcher.dispatchWaiting(nowMs)
     return this.#effects
   }
 
-  /** When the front end has to send a `tick`; undefined while nothing is pending. */
+  /** When the front end has to send the next `tick`; undefined if none is needed. */
   nextWakeAtMs (): number | undefined {
-    if (this.#dispatcher.isPumpDue) return this.#handledAtMs
+    if (this.#dispatcher.isDispatchDue) return this.#lastEventAtMs
     return this.#timers.nextAtMs()
   }
 
-  /** In-flight counts for the peers; an empty report need not be sent. */
+  /** Creates the next load report for the peers; an empty report need not be sent. */
   loadReport (maxBytesHint: number, nowMs: number): LoadReport {
-    return this.#loadSharing.report(maxBytesHint, nowMs)
+    return this.#loadExchange.nextReport(maxBytesHint, nowMs)
   }
 
-  /** Takes a report of a peer. */
+  /** Applies a load report of a peer. */
   peerLoad (nodeId: string, report: LoadReport, nowMs: number): void {
-    this.#loadSharing.take(nodeId, report, nowMs)
-    this.#dispatcher.capacityChanged()
+    this.#loadExchange.applyPeerReport(nodeId, report, nowMs)
+    this.#dispatcher.markCapacityChanged()
   }
 
   #apply (event: RoutingEvent, nowMs: number): void {
     switch (event.kind) {
-      case 'arrived': return this.#arrived(event.request, nowMs)
-      case 'claim_decided': return this.#claimDecided(event.requestId, event.decision, nowMs)
-      case 'answered': return this.#answered(event.requestId, event.attempt, event.quality, nowMs)
+      case 'arrived': return this.#onArrived(event.request, nowMs)
+      case 'claim_decided': return this.#onClaimDecided(event.requestId, event.decision, nowMs)
+      case 'answered': return this.#onAnswered(event.requestId, event.attempt, event.quality, nowMs)
       case 'attempt_failed':
-        return this.#attemptFailed(event.requestId, event.attempt, event.progress, event.reason, nowMs)
-      case 'caller_gone': return this.#callerGone(event.requestId)
-      case 'drain_started': return this.#drainStarted()
+        return this.#onAttemptFailed(event.requestId, event.attempt, event.progress, event.reason, nowMs)
+      case 'caller_gone': return this.#onCallerGone(event.requestId)
+      case 'drain_started': return this.#onDrainStarted()
       case 'tick':
     }
   }
 
-  #arrived (request: RequestSpec, nowMs: number): void {
-    if (this.#requests.has(request.requestId)) return this.#metrics.increment('duplicate_request')
-    const refusal = this.#refusalAtArrival(request, nowMs)
-    if (refusal !== undefined) return this.#emitRefusal(request.requestId, refusal)
-    this.#budgets.requestArrived(request.organisationId, nowMs)
-    const open = new OpenRequest(request)
-    this.#requests.set(request.requestId, open)
-    this.#unfinished++
-    open.deadlineTimer = this.#timers.set(request.deadlineAtMs, () => this.#deadlineReached(open))
-    if (open.isIdempotent || request.idempotencyKey === undefined) return this.#enqueue(open, nowMs)
-    open.phase = 'claiming'
-    open.claim = 'pending'
-    this.#effects.push({ kind: 'claim', request })
-  }
-
-  #refusalAtArrival (request: RequestSpec, nowMs: number): Failure | undefined {
-    const { organisationId, service, deadlineAtMs } = request
-    if (this.#isDraining) return failure('shutting_down', 'this entry VM takes no new requests')
+  #onArrived (spec: RequestSpec, nowMs: number): void {
+    if (this.#requests.has(spec.requestId)) return this.#metrics.increment('duplicate_request')
+    const refusal = this.#arrivalRefusal(spec, nowMs)
+    if (refusal !== undefined) return this.#emitRefusal(spec.requestId, refusal)
+    this.#retryBudgets.deposit(spec.organisationId, nowMs)
+    const request = new OpenRequest(spec)
+    this.#requests.set(spec.requestId, request)
+    this.#openRequestCount++
+    request.deadlineTimer = this.#timers.set(spec.deadlineAtMs, () => this.#onDeadline(request))
+    if (request.isIdempotent || spec.idempotencyKey === undefined) return this.#enqueue(request, nowMs)
+    request.phase = 'claiming'
+    request.claim = 'pending'
+    this.#effects.push({ kind: 'claim', request: spec })
+  }
+
+  #arrivalRefusal (spec: RequestSpec, nowMs: number): Failure | undefined {
+    const { organisationId, service, deadlineAtMs } = spec
+    if (this.#isDraining) return failure('shutting_down', 'this entry VM is shutting down and accepts no new requests')
     const weight = this.#weights.get(organisationId)
     if (weight === undefined) return failure('unknown_organisation', `organisation ${organisationId} is not configured`)
-    if (deadlineAtMs <= nowMs) return failure('deadline_exceeded', 'the deadline had passed at arrival')
-    if (this.#pool.tiers(service).length === 0) {
-      return failure('no_backend_server', `no backend server announced service ${service}`)
+    if (deadlineAtMs <= nowMs) return failure('deadline_exceeded', 'the deadline had already passed on arrival')
+    if (this.#pool.tiersOf(service).length === 0) {
+      return failure('no_backend_server', `no backend server has announced service ${service}`)
     }
     if (this.#requests.size >= this.#settings.maxOpenRequests) {
-      const detail = `${this.#requests.size} requests are open, ${this.#settings.maxOpenRequests} are allowed`
+      const detail = `${this.#requests.size} requests are open, the limit is ${this.#settings.maxOpenRequests}`
       return failure('queue_full', detail)
     }
-    return this.#admission.refusal(request, weight, nowMs)
-  }
-
-  #claimDecided (requestId: string, decision: ClaimDecision, nowMs: number): void {
-    const open = this.#requests.get(requestId)
-    if (open === undefined || open.claim !== 'pending') return
-    open.claim = decision.kind === 'granted' ? 'granted' : 'none'
-    if (open.phase === 'ended') return this.#claimDecidedLate(open)
-    if (decision.kind === 'refused') return this.#refuse(open, decision.failure)
-    this.#enqueue(open, nowMs)
-  }
-
-  /** The request ended before its claim was decided, so it was never dispatched. */
-  #claimDecidedLate (open: OpenRequest): void {
-    this.#unfinished--
-    this.#settleClaim(open, 'not_run')
-    this.#forgetIfDone(open)
-  }
-
-  #enqueue (open: OpenRequest, nowMs: number): void {
-    const { requestClass, organisationId } = open.request
-    open.phase = 'queued'
-    open.workClass = this.#classes.workClass(requestClass)
-    open.workMs = this.#classes.meanMs(requestClass)
-    open.queuedAtMs = nowMs
-    open.weight = this.#weights.get(organisationId) ?? open.weight
-    this.#dispatcher.add(open, nowMs)
-  }
-
-  #dispatch (open: OpenRequest, server: ServerState, nowMs: number): void {
-    this.#metrics.timing('queue_wait', nowMs - open.queuedAtMs, { workClass: open.workClass })
-    const attempt = open.begin(server, nowMs)
-    server.dispatched(attempt.workClass, nowMs)
-    const timeoutAtMs = this.#timing.timeoutAtMs(open, nowMs)
-    const lostReportAtMs = timeoutAtMs + this.#settings.attemptReportGraceMs
-    attempt.timer = this.#timers.set(lostReportAtMs, firedAtMs =>
-      this.#attemptFailed(open.request.requestId, attempt.number, 'maybe_sent', 'attempt_timeout', firedAtMs))
-    const backendServer = server.known.record
-    this.#effects.push({ kind: 'dispatch', request: open.request, attempt: attempt.number, backendServer, timeoutAtMs })
-  }
-
-  #answered (requestId: string, number: number, quality: AnswerQuality, nowMs: number): void {
-    const open = this.#requests.get(requestId)
-    const attempt = open?.attempt(number)
-    if (open === undefined || attempt === undefined) return
-    if (attempt.resolution !== 'open') return this.#answeredLate(open, attempt, quality, nowMs)
-    this.#close(open, attempt, 'may_have_run')
-    if (quality === 'success') this.#observer.succeeded(attempt, open.request, nowMs)
-    else this.#observeFailure(attempt, open.request, 'server_error', nowMs)
-    if (open.phase === 'ended') return this.#forgetIfDone(open)
-    if (quality === 'server_error' && this.#retryServerError(open, attempt, nowMs)) return
-    this.#answer(open, attempt, quality)
-  }
-
-  /** The answer of an attempt that was given up is still the answer of an idempotent request without one. */
-  #answeredLate (open: OpenRequest, attempt: Attempt, quality: AnswerQuality, nowMs: number): void {
-    const isWanted = open.phase !== 'ended' && open.isIdempotent && quality === 'success'
-    if (!isWanted || attempt.resolution !== 'may_have_run' || attempt.reason === 'server_error') return
-    this.#classes.observe(open.request.requestClass, nowMs - attempt.startedAtMs)
-    this.#answer(open, attempt, quality)
-  }
-
-  /** A server error is answered as it is where a retry is not possible at once. */
-  #retryServerError (open: OpenRequest, attempt: Attempt, nowMs: number): boolean {
-    if (!open.isIdempotent || open.isCallerGone) return false
-    const delayMs = this.#timing.backoffMs(open.attempts)
-    if (nowMs + delayMs >= open.deadlineAtMs) return false
-    if (!this.#budgets.tryTake(open.organisationId, nowMs)) return false
-    attempt.reason = 'server_error'
-    open.phase = 'backing_off'
-    open.backoffTimer = this.#timers.set(nowMs + delayMs, firedAtMs => this.#repeat(open, 'server_error', firedAtMs))
+    return this.#admission.refusalFor(spec, weight, nowMs)
+  }
+
+  #onClaimDecided (requestId: string, decision: ClaimDecision, nowMs: number): void {
+    const request = this.#requests.get(requestId)
+    if (request === undefined || request.claim !== 'pending') return
+    request.claim = decision.kind === 'granted' ? 'granted' : 'none'
+    if (request.phase === 'ended') return this.#onClaimDecidedAfterEnd(request)
+    if (decision.kind === 'refused') return this.#refuse(request, decision.failure)
+    this.#enqueue(request, nowMs)
+  }
+
+  /** Handles the claim decision of a request that ended before it, and was therefore never dispatched. */
+  #onClaimDecidedAfterEnd (request: OpenRequest): void {
+    this.#openRequestCount--
+    this.#settleClaim(request, 'not_run')
+    this.#removeIfDone(request)
+  }
+
+  #enqueue (request: OpenRequest, nowMs: number): void {
+    const { requestClass, organisationId } = request.spec
+    request.phase = 'queued'
+    request.workClass = this.#serviceTimes.workClass(requestClass)
+    request.expectedServiceTimeMs = this.#serviceTimes.meanMs(requestClass)
+    request.queuedAtMs = nowMs
+    request.weight = this.#weights.get(organisationId) ?? request.weight
+    this.#dispatcher.submit(request, nowMs)
+  }
+
+  #dispatch (request: OpenRequest, server: ServerState, nowMs: number): void {
+    this.#metrics.timing('queue_wait', nowMs - request.queuedAtMs, { workClass: request.workClass })
+    const attempt = request.beginAttempt(server, nowMs)
+    server.recordDispatch(attempt.workClass, nowMs)
+    const timeoutAtMs = this.#attemptTiming.timeoutAtMs(request, nowMs)
+    const reportDeadlineAtMs = timeoutAtMs + this.#settings.attemptReportGraceMs
+    attempt.timer = this.#timers.set(reportDeadlineAtMs, firedAtMs =>
+      this.#onAttemptFailed(
+        request.spec.requestId, attempt.attemptNumber, 'maybe_sent', 'attempt_timeout', firedAtMs))
+    const backendServer = server.registration.record
+    this.#effects.push({
+      kind: 'dispatch',
+      request: request.spec,
+      attempt: attempt.attemptNumber,
+      backendServer,
+      timeoutAtMs
+    })
+  }
+
+  #onAnswered (requestId: string, attemptNumber: number, status: AnswerStatus, nowMs: number): void {
+    const request = this.#requests.get(requestId)
+    const attempt = request?.attemptByNumber(attemptNumber)
+    if (request === undefined || attempt === undefined) return
+    if (attempt.resolution !== 'open') return this.#onLateAnswer(request, attempt, status, nowMs)
+    this.#closeAttempt(request, attempt, 'may_have_run')
+    if (status === 'success') this.#attemptObserver.recordSuccess(attempt, request.spec, nowMs)
+    else this.#observeFailure(attempt, request.spec, 'server_error', nowMs)
+    if (request.phase === 'ended') return this.#removeIfDone(request)
+    if (status === 'server_error' && this.#tryRetryServerError(request, attempt, nowMs)) return
+    this.#answer(request, attempt, status)
+  }
+
+  /** A late success of a timed-out or disconnected attempt still answers an idempotent request that has no outcome. */
+  #onLateAnswer (request: OpenRequest, attempt: Attempt, status: AnswerStatus, nowMs: number): void {
+    const isUsable = request.phase !== 'ended' && request.isIdempotent && status === 'success'
+    if (!isUsable || attempt.resolution !== 'may_have_run' || attempt.failureReason === 'server_error') return
+    this.#serviceTimes.observe(request.spec.requestClass, nowMs - attempt.startedAtMs)
+    this.#answer(request, attempt, status)
+  }
+
+  /** Schedules a retry after a server error. If it returns false, the error is passed to the caller as the answer. */
+  #tryRetryServerError (request: OpenRequest, attempt: Attempt, nowMs: number): boolean {
+    if (!request.isIdempotent || request.isCallerDisconnected) return false
+    const delayMs = this.#attemptTiming.backoffMs(request.attemptCount)
+    if (nowMs + delayMs >= request.deadlineAtMs) return false
+    if (!this.#retryBudgets.tryWithdraw(request.organisationId, nowMs)) return false
+    attempt.failureReason = 'server_error'
+    request.phase = 'backing_off'
+    request.backoffTimer = this.#timers.set(nowMs + delayMs, firedAtMs =>
+      this.#retry(request, 'server_error', firedAtMs))
     return true
   }
 
-  #attemptFailed (
-    requestId: string, number: number, progress: SendProgress, reason: AttemptFailureReason, nowMs: number
+  #onAttemptFailed (
+    requestId: string, attemptNumber: number, progress: SendProgress, reason: AttemptFailureReason, nowMs: number
   ): void {
-    const open = this.#requests.get(requestId)
-    const attempt = open?.attempt(number)
-    if (open === undefined || attempt === undefined || attempt.resolution !== 'open') return
-    attempt.reason = reason
-    this.#close(open, attempt, resolutionOf(progress, reason))
-    this.#observeFailure(attempt, open.request, reason, nowMs)
-    if (open.phase === 'ended') return this.#forgetIfDone(open)
-    this.#retryOrRefuse(open, reason, nowMs)
+    const request = this.#requests.get(requestId)
+    const attempt = request?.attemptByNumber(attemptNumber)
+    if (request === undefined || attempt === undefined || attempt.resolution !== 'open') return
+    attempt.failureReason = reason
+    this.#closeAttempt(request, attempt, resolutionOfFailure(progress, reason))
+    this.#observeFailure(attempt, request.spec, reason, nowMs)
+    if (request.phase === 'ended') return this.#removeIfDone(request)
+    this.#retryOrRefuse(request, reason, nowMs)
   }
 
-  #close (open: OpenRequest, attempt: Attempt, resolution: AttemptResolution): void {
+  #closeAttempt (request: OpenRequest, attempt: Attempt, resolution: AttemptResolution): void {
     attempt.resolution = resolution
-    attempt.server.released(attempt.workClass)
-    open.avoid.add(attempt.server.id)
+    attempt.server.recordEnd(attempt.workClass)
+    request.attemptedServerIds.add(attempt.server.id)
     this.#timers.cancel(attempt.timer)
-    this.#dispatcher.slotFreed(attempt.server)
+    this.#dispatcher.markSlotFreed(attempt.server)
   }
 
-  #observeFailure (attempt: Attempt, request: RequestSpec, reason: RetryReason, nowMs: number): void {
-    const isEjected = this.#observer.failed(attempt, request, reason, nowMs)
+  #observeFailure (attempt: Attempt, spec: RequestSpec, reason: RetryReason, nowMs: number): void {
+    const isEjected = this.#attemptObserver.recordFailure(attempt, spec, reason, nowMs)
     if (!isEjected) return
     this.#metrics.increment('ejection', { backendServerId: attempt.server.id })
-    this.#timers.set(attempt.server.ejection.endsAtMs, () => this.#dispatcher.capacityChanged())
+    this.#timers.set(attempt.server.ejection.endsAtMs, () => this.#dispatcher.markCapacityChanged())
   }
 
-  #retryOrRefuse (open: OpenRequest, reason: RetryReason, nowMs: number): void {
-    if (open.isCallerGone) return this.#refuse(open, open.endFailure(failure('cancelled', 'the caller is gone')))
-    const delayMs = this.#timing.backoffMs(open.attempts)
-    const isInTime = nowMs + delayMs < open.deadlineAtMs
-    if (!isInTime || !open.mayBeRepeated) return this.#refuse(open, open.endFailure(open.lateFailure()))
-    open.phase = 'backing_off'
-    open.backoffTimer = this.#timers.set(nowMs + delayMs, firedAtMs => this.#backoffEnded(open, reason, firedAtMs))
+  #retryOrRefuse (request: OpenRequest, reason: RetryReason, nowMs: number): void {
+    if (request.isCallerDisconnected) return this.#refuse(request, request.outcomeFailure(failure('cancelled', 'the caller disconnected')))
+    const delayMs = this.#attemptTiming.backoffMs(request.attemptCount)
+    const isInTime = nowMs + delayMs < request.deadlineAtMs
+    if (!isInTime || !request.mayRetry) return this.#refuse(request, request.outcomeFailure(request.deadlineFailure()))
+    request.phase = 'backing_off'
+    request.backoffTimer = this.#timers.set(nowMs + delayMs, firedAtMs =>
+      this.#onBackoffEnded(request, reason, firedAtMs))
   }
 
-  /** Waits for the retry budget while the deadline allows, as waiting is better than a refusal. */
-  #backoffEnded (open: OpenRequest, reason: RetryReason, nowMs: number): void {
-    open.isOutOfBudget = !this.#budgets.tryTake(open.organisationId, nowMs)
-    if (!open.isOutOfBudget) return this.#repeat(open, reason, nowMs)
-    const delayMs = Math.max(this.#settings.backoffBaseMs, this.#timing.backoffMs(open.attempts))
-    open.backoffTimer = this.#timers.set(nowMs + delayMs, firedAtMs => this.#backoffEnded(open, reason, firedAtMs))
+  /** Retries, or waits for the retry budget until the deadline, as waiting is better than a refusal. */
+  #onBackoffEnded (request: OpenRequest, reason: RetryReason, nowMs: number): void {
+    request.isRetryBudgetExhausted = !this.#retryBudgets.tryWithdraw(request.organisationId, nowMs)
+    if (!request.isRetryBudgetExhausted) return this.#retry(request, reason, nowMs)
+    const delayMs = Math.max(this.#settings.backoffBaseMs, this.#attemptTiming.backoffMs(request.attemptCount))
+    request.backoffTimer = this.#timers.set(nowMs + delayMs, firedAtMs =>
+      this.#onBackoffEnded(request, reason, firedAtMs))
   }
 
-  #repeat (open: OpenRequest, reason: RetryReason, nowMs: number): void {
+  #retry (request: OpenRequest, reason: RetryReason, nowMs: number): void {
     this.#metrics.increment('retry', { reason })
-    this.#enqueue(open, nowMs)
+    this.#enqueue(request, nowMs)
   }
 
-  /** While an attempt runs, its own timeout decides, so that an answer at the last moment is not lost. */
-  #deadlineReached (open: OpenRequest): void {
-    if (open.phase === 'running') return
-    this.#refuse(open, open.endFailure(open.lateFailure()))
+  /** A running attempt ends by its own timeout instead, so that an answer at the last moment is not lost. */
+  #onDeadline (request: OpenRequest): void {
+    if (request.phase === 'running') return
+    this.#refuse(request, request.outcomeFailure(request.deadlineFailure()))
   }
 
-  #callerGone (requestId: string): void {
-    const open = this.#requests.get(requestId)
-    if (open === undefined || open.phase === 'ended') return
-    open.isCallerGone = true
-    if (open.phase === 'running') return
-    this.#refuse(open, open.endFailure(failure('cancelled', 'the caller is gone')))
+  #onCallerGone (requestId: string): void {
+    const request = this.#requests.get(requestId)
+    if (request === undefined || request.phase === 'ended') return
+    request.isCallerDisconnected = true
+    if (request.phase === 'running') return
+    this.#refuse(request, request.outcomeFailure(failure('cancelled', 'the caller disconnected')))
   }
 
-  #drainStarted (): void {
+  #onDrainStarted (): void {
     this.#isDraining = true
-    for (const open of [...this.#requests.values()]) {
-      if (open.phase === 'ended' || open.phase === 'running' || open.mayHaveRun) continue
-      this.#refuse(open, failure('shutting_down', 'this entry VM stops; the request was not sent'))
+    for (const request of [...this.#requests.values()]) {
+      if (request.phase === 'ended' || request.phase === 'running' || request.mayHaveRun) continue
+      this.#refuse(request, failure('shutting_down', 'this entry VM is shutting down; the request was not sent'))
     }
   }
 
-  #answer (open: OpenRequest, attempt: Attempt, quality: AnswerQuality): void {
-    this.#effects.push({ kind: 'answer', requestId: open.request.requestId, attempt: attempt.number })
-    this.#end(open)
-    if (open.claim === 'granted') this.#settleClaim(open, quality === 'success' ? 'completed' : 'unknown')
-    this.#forgetIfDone(open)
+  #answer (request: OpenRequest, attempt: Attempt, status: AnswerStatus): void {
+    this.#effects.push({ kind: 'answer', requestId: request.spec.requestId, attempt: attempt.attemptNumber })
+    this.#endRequest(request)
+    if (request.claim === 'granted') this.#settleClaim(request, status === 'success' ? 'completed' : 'unknown')
+    this.#removeIfDone(request)
   }
 
-  #refuse (open: OpenRequest, cause: Failure): void {
-    this.#emitRefusal(open.request.requestId, cause)
-    this.#end(open)
-    if (open.claim === 'granted') this.#settleClaim(open, open.claimOutcome)
-    this.#forgetIfDone(open)
+  #refuse (request: OpenRequest, cause: Failure): void {
+    this.#emitRefusal(request.spec.requestId, cause)
+    this.#endRequest(request)
+    if (request.claim === 'granted') this.#settleClaim(request, request.claimOutcome)
+    this.#removeIfDone(request)
   }
 
   #emitRefusal (requestId: string, cause: Failure): void {
@@ -339,22 +351,22 @@
     this.#effects.push({ kind: 'refuse', requestId, failure: cause })
   }
 
-  #end (open: OpenRequest): void {
-    if (open.phase === 'queued') this.#queues.remove(open)
-    open.phase = 'ended'
-    if (open.claim !== 'pending') this.#unfinished--
-    this.#timers.cancel(open.deadlineTimer)
-    this.#timers.cancel(open.backoffTimer)
+  #endRequest (request: OpenRequest): void {
+    if (request.phase === 'queued') this.#queues.remove(request)
+    request.phase = 'ended'
+    if (request.claim !== 'pending') this.#openRequestCount--
+    this.#timers.cancel(request.deadlineTimer)
+    this.#timers.cancel(request.backoffTimer)
   }
 
-  #settleClaim (open: OpenRequest, outcome: ClaimOutcome): void {
-    if (open.claim !== 'granted') return
-    open.claim = 'settled'
-    this.#effects.push({ kind: 'settle_claim', request: open.request, outcome })
+  #settleClaim (request: OpenRequest, outcome: ClaimOutcome): void {
+    if (request.claim !== 'granted') return
+    request.claim = 'settled'
+    this.#effects.push({ kind: 'settle_claim', request: request.spec, outcome })
   }
 
-  #forgetIfDone (open: OpenRequest): void {
-    if (open.openAttempt !== undefined || open.claim === 'pending') return
-    this.#requests.delete(open.request.requestId)
+  #removeIfDone (request: OpenRequest): void {
+    if (request.openAttempt !== undefined || request.claim === 'pending') return
+    this.#requests.delete(request.spec.requestId)
   }
 }
--- a/packages/routing/src/service-queues.ts
+++ b/packages/routing/src/service-queues.ts
@@ -1,17 +1,17 @@
-/** Queues of all services and their common bound. */
+/** Request queues of all services, with a common size limit. */
 import type { OpenRequest } from './open-request.js'
 import { RequestQueue } from './request-queue.js'
-import type { WorkClass } from './service-classes.js'
+import type { WorkClass } from './service-time-estimator.js'
 import type { RoutingSettings } from './settings.js'
 
-/** Queue of one service with what is known about its room. */
+/** Queue of one service, with the request classes that are blocked. */
 export interface ServiceQueue {
   readonly requests: RequestQueue<OpenRequest>
-  /** Classes for which no server had room; emptied when capacity changes. */
-  readonly blocked: Set<WorkClass>
+  /** Classes for which no server had capacity; cleared when capacity changes. */
+  readonly blockedClasses: Set<WorkClass>
 }
 
-/** All waiting requests of an entry VM. */
+/** All queued requests of an entry VM. */
 export class ServiceQueues {
   readonly #settings: RoutingSettings
   readonly #queues = new Map<string, ServiceQueue>()
@@ -21,60 +21,56 @@
     this.#settings = settings
   }
 
-  /** Number of waiting requests. */
+  /** Number of queued requests of all services. */
   get size (): number {
     return this.#size
   }
 
-  /** Whether more requests wait than are allowed. */
-  get isOverfull (): boolean {
+  /** Whether more requests are queued than `maxQueuedRequests`. */
+  get isOverLimit (): boolean {
     return this.#size > this.#settings.maxQueuedRequests
   }
 
-  /** The queue of a service. */
-  of (service: string): ServiceQueue {
-    const known = this.#queues.get(service)
-    if (known !== undefined) return known
-    const queue: ServiceQueue = { requests: new RequestQueue(this.#settings), blocked: new Set() }
+  getOrCreate (service: string): ServiceQueue {
+    const existing = this.#queues.get(service)
+    if (existing !== undefined) return existing
+    const queue: ServiceQueue = { requests: new RequestQueue(this.#settings), blockedClasses: new Set() }
     this.#queues.set(service, queue)
     return queue
   }
 
-  /** The queue of a service, if a request ever waited there. */
   find (service: string): ServiceQueue | undefined {
     return this.#queues.get(service)
   }
 
-  /** Queues in which requests wait. */
-  waiting (): ServiceQueue[] {
+  nonEmpty (): ServiceQueue[] {
     return [...this.#queues.values()].filter(queue => queue.requests.size > 0)
   }
 
-  /** Adds a request. */
-  push (open: OpenRequest, weight: number, nowMs: number): void {
+  enqueue (request: OpenRequest, weight: number, nowMs: number): void {
     this.#size++
-    this.of(open.request.service).requests.push(open, weight, nowMs)
+    this.getOrCreate(request.spec.service).requests.enqueue(request, weight, nowMs)
   }
 
-  /** Removes a request that goes to a server. */
-  take (open: OpenRequest, nowMs: number): void {
+  /** Removes a request to send it to a server. */
+  dequeue (request: OpenRequest, nowMs: number): void {
     this.#size--
-    this.of(open.request.service).requests.take(open, nowMs)
+    this.getOrCreate(request.spec.service).requests.dequeue(request, nowMs)
   }
 
-  /** Removes a request that no longer waits. */
-  remove (open: OpenRequest): void {
+  /** Removes a request that ended while it was queued. */
+  remove (request: OpenRequest): void {
     this.#size--
-    this.of(open.request.service).requests.remove(open)
+    this.getOrCreate(request.spec.service).requests.remove(request)
   }
 
-  /** Forgets what is known about room, after capacity changed. */
-  unblock (): void {
-    for (const queue of this.#queues.values()) queue.blocked.clear()
+  /** Unblocks all classes after capacity changed. */
+  clearBlockedClasses (): void {
+    for (const queue of this.#queues.values()) queue.blockedClasses.clear()
   }
 
-  /** Forgets empty queues of services that no server announces any more. */
-  forgetUnused (isAnnounced: (service: string) => boolean): void {
+  /** Removes empty queues of services that no server announces any more. */
+  removeUnused (isAnnounced: (service: string) => boolean): void {
     for (const [service, queue] of this.#queues) {
       if (queue.requests.size === 0 && !isAnnounced(service)) this.#queues.delete(service)
     }
--- a/packages/routing/src/settings.ts
+++ b/packages/routing/src/settings.ts
@@ -1,84 +1,83 @@
-/** Numbers of the routing code; each has a default. */
+/** Settings of the request router and their defaults. */
 
-/** Settings of the request router. */
 export interface RoutingSettings {
-  /** Requests without an answer that one router holds at once. */
+  /** Maximum number of requests that one router holds at once; further requests are refused. */
   readonly maxOpenRequests: number
-  /** Requests that wait for a slot, over all services. */
+  /** Maximum number of queued requests of all services together. */
   readonly maxQueuedRequests: number
-  /** Extra time after an attempt's timeout before the router stops waiting for the front end's report. */
+  /** Time after the timeout of an attempt in which the front end may still report its result. */
   readonly attemptReportGraceMs: number
-  /** Shortest time that an attempt of an idempotent request gets. */
+  /** Minimum timeout of an attempt of an idempotent request. */
   readonly attemptTimeoutMinMs: number
-  /** An attempt of an idempotent request gets this many times the learned service time. */
+  /** Timeout of the first attempt of an idempotent request as a multiple of the typical service time of its class. */
   readonly attemptTimeoutFactor: number
-  /** Upper bound of the first backoff; it doubles with each attempt. */
+  /** Upper bound of the first backoff; the bound doubles with each attempt up to `backoffMaxMs`. */
   readonly backoffBaseMs: number
   readonly backoffMaxMs: number
-  /** Retries that an organisation earns with each request. */
+  /** Retry tokens that an organisation earns with each request. */
   readonly retryBudgetPerRequest: number
-  /** Retries that an organisation may save up. */
+  /** Maximum number of retry tokens that an organisation can accumulate. */
   readonly retryBudgetMaxTokens: number
-  /** The total budget is this many times the budget of one organisation. */
+  /** Budget of all organisations together as a multiple of the budget of one. */
   readonly retryBudgetTotalFactor: number
-  /** Retries per second that are earned without any requests, so that a quiet organisation can retry too. */
+  /** Retry tokens earned per second without requests, so that an organisation with little traffic can retry too. */
   readonly retryBudgetMinPerSecond: number
-  /** Number of random servers that are compared; 1 is a random choice. */
+  /** Number of random servers whose load is compared; 1 selects a server at random. */
   readonly randomChoices: number
-  /** Factor on a learned limit after a sign of overload; 1 switches learning off. */
+  /** Factor applied to the concurrency limit on a sign of overload; 1 disables the adaptive limit. */
   readonly limitDecreaseFactor: number
-  /** Least time between two decreases, so that one burst of errors counts once. */
+  /** Minimum time between two decreases of the limit, so that a burst of errors counts once. */
   readonly limitDecreaseIntervalMs: number
-  /** Rise of the limit for each full round of successes. */
+  /** Increase of the limit after as many successes as the limit allows in flight. */
   readonly limitIncreaseRequests: number
-  /** Answers slower than this many times the learned service time are a sign of overload. */
+  /** Answers that take more than this multiple of the typical service time on average are a sign of overload. */
   readonly limitSlowFactor: number
-  /** Failures in a row that eject a server; Infinity switches ejection off. */
+  /** Consecutive failures after which a server is ejected; Infinity disables ejection. */
   readonly ejectAfterFailures: number
   readonly ejectionBaseMs: number
   readonly ejectionMaxMs: number
-  /** A server without ejection for this long starts again with the shortest gap. */
+  /** Time without an ejection after which the next ejection lasts `ejectionBaseMs` again. */
   readonly ejectionMemoryMs: number
-  /** Largest share of servers that is ejected at once, as faulty requests make every server look faulty. */
+  /** Largest share of servers ejected at once, because faulty requests can make every server look faulty. */
   readonly ejectionMaxShare: number
-  /** Load that one failure adds to a server, in requests. */
+  /** Load that a failure adds to a server, in requests. */
   readonly failureLoadRequests: number
   readonly failureLoadHalfLifeMs: number
-  /** Slots of each server that long work may not take. */
+  /** Slots of each server reserved for requests of short classes. */
   readonly reservedShortSlots: number
-  /** A class is long when its typical time is this many times that of all requests. */
+  /** A class is long if its typical service time exceeds this multiple of that of all requests. */
   readonly longClassFactor: number
-  /** A class faster than this is never long. */
+  /** Minimum typical service time of a long class. */
   readonly longClassMinMs: number
-  /** A long class becomes short again below this share of the limit, so that it does not alternate. */
+  /** Share of the threshold below which a long class becomes short again; hysteresis keeps it from alternating. */
   readonly longClassHysteresis: number
-  /** Classes whose times are remembered; the least recently used is forgotten. */
+  /** Maximum number of request classes with a service time estimate; the least recently used one is evicted. */
   readonly maxRequestClasses: number
-  /** Service time assumed before anything was observed. */
+  /** Service time assumed for a class without observations. */
   readonly unknownServiceTimeMs: number
-  /** Service time that weight 1 earns in one round of deficit round robin. */
+  /** Service time credited per unit of weight in each round of deficit round robin. */
   readonly quantumMs: number
-  /** Waiting work is not started when less than this many times its usual service time is left. */
+  /** A waiting request is not sent if less than this multiple of its typical service time is left. */
   readonly startMarginFactor: number
-  /** Waiting requests are tried again after this time, as counts of peers decay without an event. */
+  /** Interval at which blocked queues are checked, as counts reported by peers decay without an event. */
   readonly queueRecheckMs: number
-  /** Window over which the rate of a busy queue is measured. */
+  /** Window over which the service rate of a non-empty queue is measured. */
   readonly rateWindowMs: number
   readonly minRetryAfterMs: number
   readonly maxRetryAfterMs: number
-  /** Interval at which the front end sends `loadReport` to its peers. */
+  /** Interval at which the front end sends a load report to its peers. */
   readonly loadShareIntervalMs: number
-  /** Size of one load report that the front end passes as a hint. */
+  /** Target size of a load report. */
   readonly loadShareMaxBytes: number
-  /** Servers in other regions are used up to this share of their limit, so that they keep room for nearer callers. */
+  /** Share of the limit up to which servers in other regions are used, so that they keep capacity for their region. */
   readonly crossRegionMaxLoad: number
-  /** A count of short work reported by a peer loses half its weight in this time. */
+  /** Half-life of the counts of short requests reported by peers. */
   readonly peerLoadHalfLifeMs: number
-  /** The same for long work. */
+  /** Half-life of the counts of long requests reported by peers. */
   readonly peerLongLoadHalfLifeMs: number
-  /** A peer that sent no report for this long no longer counts. */
+  /** Time without a report after which a peer no longer counts as one that shares the servers. */
   readonly peerForgetAfterMs: number
-  /** Entries of one load report, sent or taken. */
+  /** Maximum number of entries of a load report that are sent or applied. */
   readonly maxLoadReportEntries: number
 }
 
--- a/packages/routing/src/timers.ts
+++ b/packages/routing/src/timer-heap.ts
@@ -1,17 +1,18 @@
-/** Timers of the router, kept as a binary heap so that the front end needs only one. */
+/** Timers of the router in a binary heap, so that the front end needs only one system timer. */
 
-/** A pending call of `fire`; `cancel` makes it void. */
+/** A scheduled call of `fire`. */
 export interface Timer {
   readonly atMs: number
+  /** Whether the timer was cancelled or has fired. */
   isCancelled: boolean
   readonly fire: (nowMs: number) => void
 }
 
-/** Cancelled timers are swept once there are this many and they are the majority. */
-const SWEEP_MIN_CANCELLED = 64
+/** Cancelled timers are removed from the heap once there are this many and they are the majority. */
+const COMPACTION_MIN_CANCELLED = 64
 
 /**
- * Timers in order of their time; equal times fire in the order in which they were set.
+ * Priority queue of timers. Timers with the same time fire in the order in which they were set.
  *
  * @example
  * const timers = new TimerHeap()
@@ -20,10 +21,10 @@
  */
 export class TimerHeap {
   #heap: Array<Timer & { order: number }> = []
-  #cancelled = 0
+  #cancelledCount = 0
   #nextOrder = 0
 
-  /** Sets a timer that fires at `atMs` or later. */
+  /** Sets a timer that fires at the first call of `fireDue` at or after `atMs`. */
   set (atMs: number, fire: (nowMs: number) => void): Timer {
     const timer = { atMs, isCancelled: false, fire, order: this.#nextOrder++ }
     this.#heap.push(timer)
@@ -31,39 +32,41 @@
     return timer
   }
 
-  /** Makes a timer void; without effect on one that fired. */
+  /** Cancels a timer; no effect if it has fired. */
   cancel (timer: Timer | undefined): void {
     if (timer === undefined || timer.isCancelled) return
     timer.isCancelled = true
-    this.#cancelled++
-    if (this.#cancelled >= SWEEP_MIN_CANCELLED && this.#cancelled * 2 > this.#heap.length) this.#sweep()
+    this.#cancelledCount++
+    if (
+      this.#cancelledCount >= COMPACTION_MIN_CANCELLED && this.#cancelledCount * 2 > this.#heap.length
+    ) this.#removeCancelled()
   }
 
-  /** Time of the earliest timer. */
+  /** Time of the earliest pending timer. */
   nextAtMs (): number | undefined {
-    this.#dropCancelled()
+    this.#popCancelled()
     return this.#heap[0]?.atMs
   }
 
-  /** Fires every timer that is due, including those set meanwhile. */
+  /** Fires all due timers, including due timers set by those that fire. */
   fireDue (nowMs: number): void {
-    for (this.#dropCancelled(); this.#heap.length > 0 && this.#heap[0]!.atMs <= nowMs; this.#dropCancelled()) {
+    for (this.#popCancelled(); this.#heap.length > 0 && this.#heap[0]!.atMs <= nowMs; this.#popCancelled()) {
       const timer = this.#pop()
       timer.isCancelled = true
       timer.fire(nowMs)
     }
   }
 
-  #dropCancelled (): void {
+  #popCancelled (): void {
     while (this.#heap[0]?.isCancelled === true) {
       this.#pop()
-      this.#cancelled = Math.max(0, this.#cancelled - 1)
+      this.#cancelledCount = Math.max(0, this.#cancelledCount - 1)
     }
   }
 
-  #sweep (): void {
+  #removeCancelled (): void {
     this.#heap = this.#heap.filter(timer => !timer.isCancelled).sort((left, right) => isBefore(left, right) ? -1 : 1)
-    this.#cancelled = 0
+    this.#cancelledCount = 0
   }
 
   #pop (): Timer & { order: number } {
@@ -101,9 +104,9 @@
   }
 
   #swap (left: number, right: number): void {
-    const held = this.#heap[left]!
+    const previous = this.#heap[left]!
     this.#heap[left] = this.#heap[right]!
-    this.#heap[right] = held
+    this.#heap[right] = previous
   }
 }
 
--- a/packages/routing/test/registry.test.ts
+++ b/packages/routing/test/registry.test.ts
@@ -18,34 +18,34 @@
   }
 }
 
-test('a late heartbeat of an older incarnation or sequence does not replace a newer record', t => {
+test('a delayed heartbeat of an older incarnation or sequence does not replace a newer record', t => {
   const registry = new BackendRegistry(1_000)
   registry.announce(record({ incarnation: 2, sequence: 5, slots: 4 }), 0)
   t.false(registry.announce(record({ incarnation: 1, sequence: 9 }), 1))
   t.false(registry.announce(record({ incarnation: 2, sequence: 4 }), 1))
-  t.is(registry.active('print', 1)[0]?.slots, 4)
+  t.is(registry.activeRecords('print', 1)[0]?.slots, 4)
 })
 
-test('a leaving server gets no new work again before it restarts, even when heartbeats are reordered', t => {
+test('a leaving server gets no new requests until it restarts, even if heartbeats arrive out of order', t => {
   const registry = new BackendRegistry(1_000)
   registry.announce(record({ sequence: 3 }), 0)
   t.true(registry.announce(record({ sequence: 2, state: 'leaving' }), 1))
   registry.announce(record({ sequence: 4 }), 2)
-  t.deepEqual(registry.active('print', 2), [])
+  t.deepEqual(registry.activeRecords('print', 2), [])
   registry.announce(record({ incarnation: 2, sequence: 1 }), 3)
-  t.is(registry.active('print', 3).length, 1)
+  t.is(registry.activeRecords('print', 3).length, 1)
 })
 
-test('silence ends membership at the age that a peer stated, so relaying keeps no dead server alive', t => {
+test('a record relayed by a peer expires by the age the peer stated, so that relaying does not keep a dead server active', t => {
   const registry = new BackendRegistry(1_000)
   registry.announce(record(), 5_000, 900)
-  t.is(registry.active('print', 5_099).length, 1)
-  t.deepEqual(registry.active('print', 5_100), [])
+  t.is(registry.activeRecords('print', 5_099).length, 1)
+  t.deepEqual(registry.activeRecords('print', 5_100), [])
   t.false(registry.announce(record({ sequence: 2 }), 5_100, 1_000))
   t.is(registry.all(5_100)[0]?.state, 'expired')
 })
 
-test('batches for peers carry each change once with its age, so peers neither miss nor overtrust a record', t => {
+test('batches for peers contain each change once with its age, so that peers miss no record and expire it in time', t => {
   const registry = new BackendRegistry(1_000)
   for (const id of ['b1', 'b2', 'b3']) registry.announce(record({ backendServerId: id }), 100)
   const first = registry.changedSince(0, 150, 2)
@@ -57,11 +57,11 @@
   t.is(registry.changedSince(second.version, 200).records.length, 1)
 })
 
-test('a drained server gets no new work until the drain is lifted', t => {
+test('a draining server gets no new requests until the drain is cancelled', t => {
   const registry = new BackendRegistry(1_000)
   registry.setDraining(new Set(['b1']))
   registry.announce(record(), 0)
-  t.deepEqual(registry.active('print', 0), [])
+  t.deepEqual(registry.activeRecords('print', 0), [])
   registry.setDraining(new Set())
-  t.is(registry.active('print', 0).length, 1)
+  t.is(registry.activeRecords('print', 0).length, 1)
 })
--- a/packages/routing/test/model.test.ts
+++ b/packages/routing/test/router-invariants.test.ts
@@ -2,18 +2,19 @@
 import fc from 'fast-check'
 import { BackendRegistry, type RequestRouter, type RoutingEffect, type RoutingEvent } from '../src/index.js'
 import {
-  checkers, FakeWorld, type CheckerName, type ClaimFate, type Fate, type Mutation, type RouterLike, type Scenario
-} from './fake-world.js'
+  invariants, RouterSimulation, type AttemptBehaviour, type ClaimBehaviour, type InvariantName, type Mutation,
+  type RouterLike, type Scenario
+} from './router-simulation.js'
 
 const SEED = 20261204
 const RUNS = 2_000
 const MUTATION_RUNS = 300
 
-const fates: Fate[] = [
+const attemptBehaviours: AttemptBehaviour[] = [
   'answer', 'answer_twice', 'answer_after_timeout', 'answer_after_loss', 'server_error', 'connect_failed', 'rejected',
   'rejected_then_timeout', 'lost_before_execution', 'lost_after_execution', 'executed_after_timeout', 'no_report'
 ]
-const claimFates: ClaimFate[] = ['granted', 'granted_twice', 'granted_late', 'refused']
+const claimBehaviours: ClaimBehaviour[] = ['granted', 'granted_twice', 'granted_late', 'refused']
 
 const scenarios: fc.Arbitrary<Scenario> = fc.record({
   requests: fc.array(fc.record({
@@ -21,10 +22,10 @@
     repeatability: fc.constantFrom('idempotent' as const, 'non-repeatable' as const),
     hasKey: fc.boolean(),
     deadlineMs: fc.integer({ min: 1, max: 1_500 }),
-    isCallerGone: fc.integer({ min: 0, max: 9 }).map(digit => digit === 0)
+    isCallerDisconnected: fc.integer({ min: 0, max: 9 }).map(digit => digit === 0)
   }), { minLength: 1, maxLength: 40 }),
-  fates: fc.array(fc.constantFrom(...fates), { minLength: 1, maxLength: 30 }),
-  claimFates: fc.array(fc.constantFrom(...claimFates), { minLength: 1, maxLength: 10 }),
+  attemptBehaviours: fc.array(fc.constantFrom(...attemptBehaviours), { minLength: 1, maxLength: 30 }),
+  claimBehaviours: fc.array(fc.constantFrom(...claimBehaviours), { minLength: 1, maxLength: 10 }),
   leaveAtMs: fc.integer({ min: 0, max: 2_000 }),
   silentFromMs: fc.integer({ min: 0, max: 2_000 }),
   drainAtMs: fc.integer({ min: 500, max: 4_000 }),
@@ -32,19 +33,19 @@
   seed: fc.integer({ min: 1, max: 1_000_000 })
 })
 
-test('no answer contradicts what the backend servers really executed, whatever is lost, late, doubled or reordered', t => {
+test('no outcome contradicts what the backend servers executed when messages are lost, delayed, duplicated or reordered', t => {
   fc.assert(fc.property(scenarios, scenario => {
-    const record = new FakeWorld(scenario).run()
-    for (const [name, check] of Object.entries(checkers)) {
-      const found = check(record)
-      if (found !== undefined) throw new Error(`${name} is contradicted by ${found}`)
+    const trace = new RouterSimulation(scenario).run()
+    for (const [name, check] of Object.entries(invariants)) {
+      const violation = check(trace)
+      if (violation !== undefined) throw new Error(`invariant ${name} is violated by ${violation}`)
     }
   }), { seed: SEED, numRuns: RUNS })
   t.pass()
 })
 
-/** A router whose events or effects are altered on the way. */
-function altered (
+/** Builds a mutation that changes events before the router handles them, or the effects it returns. */
+function mutateRouter (
   onEvent: (event: RoutingEvent) => RoutingEvent, onEffect: (effect: RoutingEffect) => RoutingEffect[]
 ): Mutation {
   const wrap = (router: RequestRouter): RouterLike => ({
@@ -55,40 +56,40 @@
   return { wrap }
 }
 
-const keepEvent = (event: RoutingEvent) => event
-const keepEffect = (effect: RoutingEffect) => [effect]
+const sameEvent = (event: RoutingEvent) => event
+const sameEffect = (effect: RoutingEffect) => [effect]
 
-class EverServingRegistry extends BackendRegistry {
+class AlwaysServingRegistry extends BackendRegistry {
   override isServing (): boolean {
     return true
   }
 }
 
-const mutations: Record<CheckerName, Mutation> = {
-  atMostOnce: altered(
-    event => event.kind === 'attempt_failed' ? { ...event, progress: 'not_sent' } : event, keepEffect),
-  notRunIsTrue: altered(keepEvent, effect => effect.kind === 'refuse' && effect.failure.kind === 'outcome_unknown'
+const mutations: Record<InvariantName, Mutation> = {
+  atMostOnce: mutateRouter(
+    event => event.kind === 'attempt_failed' ? { ...event, progress: 'not_sent' } : event, sameEffect),
+  neverRunAfterNotRun: mutateRouter(sameEvent, effect => effect.kind === 'refuse' && effect.failure.kind === 'outcome_unknown'
     ? [{ ...effect, failure: { kind: 'deadline_exceeded', detail: 'mutation' } }]
     : [effect]),
-  exactlyOneOutcome: altered(keepEvent, effect => effect.kind === 'answer' ? [effect, effect] : [effect]),
-  answerIsOwn: altered(
-    keepEvent, effect => effect.kind === 'answer' ? [{ ...effect, attempt: effect.attempt + 1 }] : [effect]),
-  claimedBeforeDispatch: altered(event => {
+  exactlyOneOutcome: mutateRouter(sameEvent, effect => effect.kind === 'answer' ? [effect, effect] : [effect]),
+  answerFromBackendServer: mutateRouter(
+    sameEvent, effect => effect.kind === 'answer' ? [{ ...effect, attempt: effect.attempt + 1 }] : [effect]),
+  claimedBeforeDispatch: mutateRouter(event => {
     if (event.kind !== 'arrived') return event
     return { ...event, request: { ...event.request, idempotencyKey: undefined } }
-  }, keepEffect),
-  settledOnce: altered(keepEvent, effect => effect.kind === 'settle_claim' ? [effect, effect] : [effect]),
-  settledTruly: altered(
-    keepEvent, effect => effect.kind === 'settle_claim' ? [{ ...effect, outcome: 'not_run' }] : [effect]),
-  onlyServing: { registry: () => new EverServingRegistry(400) },
-  nothingLeftOpen: altered(
-    event => event.kind === 'claim_decided' ? { kind: 'tick' } : event, keepEffect)
+  }, sameEffect),
+  claimSettledOnce: mutateRouter(sameEvent, effect => effect.kind === 'settle_claim' ? [effect, effect] : [effect]),
+  claimSettledCorrectly: mutateRouter(
+    sameEvent, effect => effect.kind === 'settle_claim' ? [{ ...effect, outcome: 'not_run' }] : [effect]),
+  onlyServingServers: { registry: () => new AlwaysServingRegistry(400) },
+  everyRequestEnds: mutateRouter(
+    event => event.kind === 'claim_decided' ? { kind: 'tick' } : event, sameEffect)
 }
 
-for (const [name, mutation] of Object.entries(mutations) as Array<[CheckerName, Mutation]>) {
-  test(`the checker ${name} can fail: it catches a router that breaks this property`, t => {
+for (const [name, mutation] of Object.entries(mutations) as Array<[InvariantName, Mutation]>) {
+  test(`the check of invariant ${name} detects a router that violates it`, t => {
     const result = fc.check(fc.property(scenarios, scenario =>
-      checkers[name](new FakeWorld(scenario, mutation).run()) === undefined
+      invariants[name](new RouterSimulation(scenario, mutation).run()) === undefined
     ), { seed: SEED, numRuns: MUTATION_RUNS, endOnFailure: true })
     t.true(result.failed)
     t.is((result.errorInstance as Error | null)?.message, 'Property failed by returning false')
--- a/packages/routing/test/router.test.ts
+++ b/packages/routing/test/router.test.ts
@@ -77,8 +77,8 @@
     .map(([requestId, backendServerId]) => [requestId, backendServerId])
 }
 
-/** Sends ticks at the times the router asks for and collects the effects. */
-function runTo (router: RequestRouter, endMs: number): RoutingEffect[] {
+/** Sends ticks at the times that the router requests until `endMs` and collects the effects. */
+function runUntil (router: RequestRouter, endMs: number): RoutingEffect[] {
   const effects: RoutingEffect[] = []
   for (let wakeAtMs = router.nextWakeAtMs(); wakeAtMs !== undefined && wakeAtMs <= endMs;) {
     effects.push(...router.handle({ kind: 'tick' }, wakeAtMs))
@@ -87,8 +87,10 @@
   return effects
 }
 
-/** Teaches the router the time of a class. */
-function teach (router: RequestRouter, requestClass: string, serviceMs: number, count: number, startMs = 0): number {
+/** Answers `count` requests of a class after `serviceMs` each, so that the router learns their service time. */
+function observeServiceTimes (
+  router: RequestRouter, requestClass: string, serviceMs: number, count: number, startMs = 0
+): number {
   let nowMs = startMs
   for (let index = 0; index < count; index++) {
     const requestId = `${requestClass}-${index}`
@@ -99,7 +101,7 @@
   return nowMs
 }
 
-test('requests of unknown organisations, unknown services and passed deadlines are refused before they are sent', t => {
+test('requests with an unknown organisation, an unknown service or a passed deadline are refused without being sent', t => {
   const { router, metrics } = setUp()
   t.deepEqual(refusalKinds(arrive(router, request('r1', { organisationId: 'nobody' }))), ['unknown_organisation'])
   t.deepEqual(refusalKinds(arrive(router, request('r2', { service: 'plots' }))), ['no_backend_server'])
@@ -107,7 +109,7 @@
   t.is(metrics.snapshot()['refusal{kind=unknown_organisation}'], 1)
 })
 
-test('nearer servers are used first, so that traffic between regions is paid only when nearer ones are full', t => {
+test('nearer servers are used first, so that cross-region traffic is paid for only when nearer servers are full', t => {
   const { router } = setUp({
     servers: [
       { region: 'maldonado', availabilityZone: 'maldonado-a', slots: 2 },
@@ -119,7 +121,7 @@
   t.deepEqual(chosen, [['r1', 'b2'], ['r2', 'b1'], ['r3', 'b0']])
 })
 
-test('a request waits for a slot instead of being refused, and a slot is never used twice', t => {
+test('a request is queued instead of refused while all slots are in use, and no slot is used twice', t => {
   const { router } = setUp({ servers: [{ slots: 8, connections: 2 }] })
   const first = ['r1', 'r2', 'r3'].flatMap(id => arrive(router, request(id)))
   t.is(dispatched(first).length, 2)
@@ -127,7 +129,7 @@
   t.deepEqual(dispatched(succeed(router, 'r1', 20)), [['r3', 'b0']])
 })
 
-test('a waiting request is sent when a server is announced, without a poll', t => {
+test('a queued request is sent as soon as a server is announced, without polling', t => {
   const { router, registry } = setUp({ servers: [{ state: 'leaving' }] })
   t.deepEqual(arrive(router, request('r1')), [])
   registry.announce(serverRecord({ backendServerId: 'b9' }), 10)
@@ -135,7 +137,7 @@
   t.deepEqual(dispatched(router.handle({ kind: 'tick' }, 10)), [['r1', 'b9']])
 })
 
-test('a drain refuses what was never sent and lets open requests finish, so that a shutdown interrupts nothing', t => {
+test('a drain refuses requests that were never sent and lets sent ones finish, so that a shutdown interrupts no request', t => {
   const { router } = setUp()
   arrive(router, request('sent'))
   arrive(router, request('waiting'))
@@ -146,17 +148,17 @@
   t.is(router.openRequests, 0)
 })
 
-test('the late answer of an abandoned attempt ends an idempotent request, and the next answer is ignored', t => {
+test('a late answer to an earlier attempt ends an idempotent request, and a second answer is ignored', t => {
   const { router } = setUp({ servers: [{}, {}] })
   arrive(router, request('r1'))
   const lost = { requestId: 'r1', attempt: 1, progress: 'maybe_sent', reason: 'connection_lost' } as const
   router.handle({ kind: 'attempt_failed', ...lost }, 5)
-  t.is(dispatched(runTo(router, 40)).length, 1)
+  t.is(dispatched(runUntil(router, 40)).length, 1)
   t.deepEqual(succeed(router, 'r1', 50), [{ kind: 'answer', requestId: 'r1', attempt: 1 }])
   t.deepEqual(succeed(router, 'r1', 60, 2), [])
 })
 
-test('retries stop when the budget is spent, so that a failing service is not hit by a multiple of its load', t => {
+test('retries stop when the retry budget is exhausted, so that they do not multiply the load on a failing service', t => {
   const settings = { retryBudgetMaxTokens: 3, retryBudgetMinPerSecond: 0, retryBudgetPerRequest: 0 }
   const { router, metrics } = setUp({ settings: { ...settings, ejectAfterFailures: Infinity } })
   const failure = { progress: 'not_sent', reason: 'connect_failed' } as const
@@ -176,7 +178,7 @@
   t.is(metrics.snapshot()['retry{reason=connect_failed}'], 3)
 })
 
-test('a server that fails fast is ejected for growing gaps and probed with one request at a time', t => {
+test('a server that fails fast is ejected for increasing periods and probed with one request at a time', t => {
   const { router } = setUp({ servers: [{ slots: 4 }, { slots: 4 }] })
   const errors: number[] = []
   for (let nowMs = 0; nowMs < 10_000; nowMs += 10) {
@@ -190,17 +192,17 @@
   t.true(errors.length > 0 && errors.length <= 5, `${errors.length} requests met the failing server`)
 })
 
-test('long work leaves reserved slots free, so that short work does not wait behind it', t => {
+test('long requests leave reserved slots free, so that short requests do not wait behind them', t => {
   const { router } = setUp({ servers: [{ slots: 4 }], settings: { reservedShortSlots: 1 } })
-  const taughtMs = teach(router, 'charge', 10, 100)
-  const startMs = teach(router, 'reconcile', 2_000, 5, taughtMs)
+  const taughtMs = observeServiceTimes(router, 'charge', 10, 100)
+  const startMs = observeServiceTimes(router, 'reconcile', 2_000, 5, taughtMs)
   const long = ['l1', 'l2', 'l3', 'l4'].flatMap(id =>
     arrive(router, request(id, { requestClass: 'reconcile', deadlineAtMs: startMs + 60_000 }), startMs))
   t.is(dispatched(long).length, 3)
   t.is(dispatched(arrive(router, request('s1', { deadlineAtMs: startMs + 100 }), startMs)).length, 1)
 })
 
-test('organisations share a busy server by weight, and a full queue refuses the one that holds most of it', t => {
+test('organisations share a busy server by weight, and a full queue refuses requests of the one that holds most of it', t => {
   const weights = new Map([['o1', 1], ['o2', 3]])
   const { router } = setUp({ weights, settings: { maxQueuedRequests: 40 } })
   arrive(router, request('first'))
@@ -211,25 +213,25 @@
     t.true(effects.every(effect => effect.kind === 'refuse' && effect.requestId.startsWith('a')))
   }
   const served: string[] = []
-  for (let open = 'first', nowMs = 10; served.length < 16; nowMs += 10) {
-    [[open] = ['']] = dispatched(succeed(router, open, nowMs))
-    served.push(open)
+  for (let requestId = 'first', nowMs = 10; served.length < 16; nowMs += 10) {
+    [[requestId] = ['']] = dispatched(succeed(router, requestId, nowMs))
+    served.push(requestId)
   }
   t.is(served.filter(id => id.startsWith('b')).length, 12)
 })
 
-test('a deadline that the queue cannot meet is refused at admission, and the advised time is long enough', t => {
+test('a request whose deadline cannot be met is refused at admission, and a retry after the advised delay is served in time', t => {
   const { router } = setUp()
-  let nowMs = teach(router, 'charge', 50, 10)
+  let nowMs = observeServiceTimes(router, 'charge', 50, 10)
   const ids = Array.from({ length: 15 }, (_, index) => `q${index}`)
   for (const id of ids) arrive(router, request(id, { deadlineAtMs: nowMs + 60_000 }), nowMs)
   const answeredAtMs = new Map<string, number>()
-  let [open] = ids
+  let [requestId] = ids
   const serveUntil = (endMs: number) => {
-    while (nowMs < endMs && open !== undefined) {
+    while (nowMs < endMs && requestId !== undefined) {
       nowMs += 50
-      answeredAtMs.set(open, nowMs)
-      open = dispatched(succeed(router, open, nowMs))[0]?.[0]
+      answeredAtMs.set(requestId, nowMs)
+      requestId = dispatched(succeed(router, requestId, nowMs))[0]?.[0]
     }
   }
   serveUntil(nowMs + 600)
@@ -246,7 +248,7 @@
   t.is(router.openRequests, 0)
 })
 
-test('counts of peers fill a server until they decay, so that a silent peer blocks nobody for long', t => {
+test('counts reported by peers use up capacity until they decay, so that a silent peer does not block it for long', t => {
   const { router } = setUp({ servers: [{ slots: 2 }] })
   arrive(router, request('r1'))
   succeed(router, 'r1', 10)
@@ -254,11 +256,11 @@
   arrive(router, request('r2'), 21)
   arrive(router, request('r3'), 21)
   t.is(router.queuedRequests, 1)
-  runTo(router, 3_000)
+  runUntil(router, 3_000)
   t.is(router.queuedRequests, 0)
 })
 
-test('a load report has only changed servers and stays within its size, so that it does not flood the links', t => {
+test('a load report contains only changed servers and keeps to its size limit, so that reports do not overload the links', t => {
   const servers = Array.from({ length: 20 }, () => ({ slots: 4 }))
   const { router } = setUp({ servers })
   for (let index = 0; index < 20; index++) arrive(router, request(`r${index}`))
@@ -270,17 +272,17 @@
   t.deepEqual(router.loadReport(100_000, 3).entries, [])
 })
 
-test('the same events with the same seed give the same effects, so that a fault can be replayed', t => {
-  const play = () => {
+test('the same events and seed give the same effects, so that a failure can be reproduced', t => {
+  const runEvents = () => {
     const { router } = setUp({ servers: [{ slots: 3 }, { slots: 3 }, { slots: 3 }] })
     return Array.from({ length: 50 }, (_, index) => [
       ...arrive(router, request(`r${index}`), index), ...succeed(router, `r${index - 4}`, index)
     ])
   }
-  t.deepEqual(play(), play())
+  t.deepEqual(runEvents(), runEvents())
 })
 
-test('the baseline sends to every serving server in turn and queues nothing, so that comparisons keep their meaning', t => {
+test('the round robin baseline uses every serving server in turn and queues nothing, so that comparisons stay valid', t => {
   const { router } = setUp({ servers: [{}, {}], policy: new RoundRobinPolicy() })
   const chosen = ['r1', 'r2', 'r3', 'r4'].flatMap(id => dispatched(arrive(router, request(id))))
   t.deepEqual(chosen.map(([, server]) => server), ['b0', 'b1', 'b0', 'b1'])
