--- a/packages/control/src/canonical.ts
+++ b/packages/control/src/canonical-json.ts
@@ -29,6 +29,6 @@
 }
 
 function sortFields (value: object): object {
-  const entries = Object.entries(value)
-  return Object.fromEntries(entries.sort(([left], [right]) => left < right ? -1 : 1))
+  const fields = Object.entries(value)
+  return Object.fromEntries(fields.sort(([left], [right]) => left < right ? -1 : 1))
 }
--- a/packages/control/src/claims.ts
+++ b/packages/control/src/claims.ts
@@ -2,7 +2,7 @@
 import { type Failure, failure } from '@comfreygrade/core'
 import { Fifo } from './fifo.js'
 import { type IdempotencyKey, parseIdempotencyKey } from './idempotency-key.js'
-import { done, refuse } from './refusals.js'
+import { done, refuse } from './command-results.js'
 import type { CommandResult, ControlCommand } from './commands.js'
 import type { ClaimState, ClaimView, RecordedAnswer } from './operations.js'
 import type { ControlStateSettings } from './settings.js'
@@ -21,17 +21,17 @@
 type SettleCommand = Extract<ControlCommand, { kind: 'settle_claim' }>
 
 /** Claims due in the same period are forgotten together; a claim is kept up to this much longer than it must be. */
-const FORGET_PERIOD_MS = 10_000
+const EXPIRY_BUCKET_MS = 10_000
 
 /** All claims within their retention. */
 export class ClaimTable {
   readonly #settings: ControlStateSettings
   readonly #claims = new Map<string, ClaimRecord>()
   readonly #countByOrganisation = new Map<string, number>()
-  readonly #dueByPeriod = new Map<number, string[]>()
+  readonly #expiryBuckets = new Map<number, string[]>()
   readonly #answersByAge = new Fifo<string>()
   #answerBytes = 0
-  #nextPeriod = 0
+  #nextBucket = 0
 
   constructor (settings: ControlStateSettings) {
     this.#settings = settings
@@ -60,7 +60,7 @@
   checkKey (text: string, logTimeMs: number): Failure | undefined {
     const key = parseIdempotencyKey(text)
     return key === undefined
-      ? failure('key_invalid', notAKey(text))
+      ? failure('key_invalid', invalidKeyMessage(text))
       : this.#checkAge(key, logTimeMs)
   }
 
@@ -70,14 +70,14 @@
    */
   claim (command: ClaimCommand, logTimeMs: number, maxDeadlineMs: number): CommandResult {
     const key = parseIdempotencyKey(command.key)
-    if (key === undefined) return refuse('key_invalid', notAKey(command.key))
+    if (key === undefined) return refuse('key_invalid', invalidKeyMessage(command.key))
     const existing = this.#claims.get(claimId(command.organisationId, key.text))
-    if (existing !== undefined && existing.digest !== command.digest) return reused(existing)
+    if (existing !== undefined && existing.digest !== command.digest) return refuseReusedKey(existing)
     if (existing !== undefined && !isGrantable(existing, command.claimantId)) {
       return { kind: 'claimed', granted: false, claim: toClaimView(existing, logTimeMs, maxDeadlineMs) }
     }
     const problem = this.#checkAge(key, logTimeMs) ??
-      (existing === undefined ? this.#checkRoom(command.organisationId) : undefined)
+      (existing === undefined ? this.#checkLimits(command.organisationId) : undefined)
     if (problem !== undefined) return { kind: 'refused', failure: problem }
     const record: ClaimRecord = {
       organisationId: command.organisationId,
@@ -106,18 +106,18 @@
     if (isFinal(record.state)) {
       return refuse('invalid_request', `claim ${record.key} is settled as ${record.state}, not ${command.state}`)
     }
-    const answer = command.state === 'completed' ? this.#recordable(command.answer) : null
+    const answer = command.state === 'completed' ? this.#answerWithinLimit(command.answer) : null
     const settled: ClaimRecord = { ...record, state: command.state, answer, settledIndex: index }
     this.#claims.set(claimId(record.organisationId, record.key), settled)
-    if (answer !== null) this.#countAnswer(settled, answer)
+    if (answer !== null) this.#trackAnswer(settled, answer)
     return done
   }
 
   /** Forgets every claim whose retention ended; each claim is touched once. */
-  forget (logTimeMs: number): void {
-    const endPeriod = Math.floor(logTimeMs / FORGET_PERIOD_MS)
-    if (this.#dueByPeriod.size === 0) this.#nextPeriod = endPeriod
-    for (; this.#nextPeriod < endPeriod; this.#nextPeriod += 1) this.#forgetPeriod(this.#nextPeriod)
+  removeExpired (logTimeMs: number): void {
+    const endBucket = Math.floor(logTimeMs / EXPIRY_BUCKET_MS)
+    if (this.#expiryBuckets.size === 0) this.#nextBucket = endBucket
+    for (; this.#nextBucket < endBucket; this.#nextBucket += 1) this.#removeBucket(this.#nextBucket)
   }
 
   /** Puts back records of a snapshot, given in the order of their commits. */
@@ -129,7 +129,7 @@
     }
     const answered = records.filter(record => record.answer !== null)
     for (const record of answered.sort((left, right) => left.settledIndex - right.settledIndex)) {
-      if (record.answer !== null) this.#countAnswer(record, record.answer)
+      if (record.answer !== null) this.#trackAnswer(record, record.answer)
     }
   }
 
@@ -145,7 +145,7 @@
     return undefined
   }
 
-  #checkRoom (organisationId: string): Failure | undefined {
+  #checkLimits (organisationId: string): Failure | undefined {
     const { maxClaims, maxClaimsPerOrganisation } = this.#settings
     const count = this.#countByOrganisation.get(organisationId) ?? 0
     if (count >= maxClaimsPerOrganisation) {
@@ -160,48 +160,48 @@
   #add (record: ClaimRecord, issuedMs: number): void {
     const id = claimId(record.organisationId, record.key)
     this.#claims.set(id, record)
-    this.#addCount(record.organisationId, 1)
-    const dueMs = Math.max(record.claimedLogMs, issuedMs) + this.#settings.claimRetentionMs
-    const period = Math.floor(dueMs / FORGET_PERIOD_MS)
-    const due = this.#dueByPeriod.get(period)
-    if (due === undefined) this.#dueByPeriod.set(period, [id])
-    else due.push(id)
-    this.#nextPeriod = Math.min(this.#nextPeriod === 0 ? period : this.#nextPeriod, period)
+    this.#adjustCount(record.organisationId, 1)
+    const expiresMs = Math.max(record.claimedLogMs, issuedMs) + this.#settings.claimRetentionMs
+    const bucket = Math.floor(expiresMs / EXPIRY_BUCKET_MS)
+    const bucketIds = this.#expiryBuckets.get(bucket)
+    if (bucketIds === undefined) this.#expiryBuckets.set(bucket, [id])
+    else bucketIds.push(id)
+    this.#nextBucket = Math.min(this.#nextBucket === 0 ? bucket : this.#nextBucket, bucket)
   }
 
-  #forgetPeriod (period: number): void {
-    const due = this.#dueByPeriod.get(period)
-    if (due === undefined) return
-    this.#dueByPeriod.delete(period)
-    for (const id of due) this.#remove(id)
+  #removeBucket (bucket: number): void {
+    const expiredIds = this.#expiryBuckets.get(bucket)
+    if (expiredIds === undefined) return
+    this.#expiryBuckets.delete(bucket)
+    for (const id of expiredIds) this.#remove(id)
   }
 
   #remove (id: string): void {
     const record = this.#claims.get(id)
     if (record === undefined) return
     this.#claims.delete(id)
-    this.#addCount(record.organisationId, -1)
+    this.#adjustCount(record.organisationId, -1)
     if (record.answer !== null) this.#answerBytes -= record.answer.body.length
   }
 
-  #addCount (organisationId: string, change: number): void {
+  #adjustCount (organisationId: string, change: number): void {
     const count = (this.#countByOrganisation.get(organisationId) ?? 0) + change
     if (count === 0) this.#countByOrganisation.delete(organisationId)
     else this.#countByOrganisation.set(organisationId, count)
   }
 
-  #recordable (answer: RecordedAnswer | null): RecordedAnswer | null {
+  #answerWithinLimit (answer: RecordedAnswer | null): RecordedAnswer | null {
     return answer !== null && answer.body.length <= this.#settings.claimAnswerMaxBytes ? answer : null
   }
 
-  #countAnswer (record: ClaimRecord, answer: RecordedAnswer): void {
+  #trackAnswer (record: ClaimRecord, answer: RecordedAnswer): void {
     this.#answerBytes += answer.body.length
     this.#answersByAge.push(claimId(record.organisationId, record.key))
-    this.#dropOldAnswers()
+    this.#evictOldAnswers()
   }
 
   /** Removes answers above the total, and entries at the front whose claim was forgotten. */
-  #dropOldAnswers (): void {
+  #evictOldAnswers (): void {
     for (let id = this.#answersByAge.peek(); id !== undefined; id = this.#answersByAge.peek()) {
       const record = this.#claims.get(id)
       const answer = record?.answer ?? null
@@ -231,7 +231,7 @@
   return `${organisationId}/${key}`
 }
 
-function notAKey (text: string): string {
+function invalidKeyMessage (text: string): string {
   return `idempotency key ${text} is not a UUID of version 7`
 }
 
@@ -246,10 +246,10 @@
  * @example
  * isGrantable(record, 'request-7') // true while request-7 holds the pending claim
  */
-export function isGrantable ({ state, claimantId }: ClaimRecord, byClaimantId: string): boolean {
-  return state === 'not_run' || (state === 'pending' && claimantId === byClaimantId)
+export function isGrantable ({ state, claimantId }: ClaimRecord, requesterId: string): boolean {
+  return state === 'not_run' || (state === 'pending' && claimantId === requesterId)
 }
 
-function reused (existing: ClaimRecord): CommandResult {
+function refuseReusedKey (existing: ClaimRecord): CommandResult {
   return refuse('key_reused', `idempotency key ${existing.key} was used for a request with other content`)
 }
--- a/packages/control/src/configuration-history.ts
+++ b/packages/control/src/configuration-history.ts
@@ -3,7 +3,7 @@
   applyChange, emptyConfiguration, failure, fromDocument, toDocument,
   type Configuration, type ConfigurationChange, type ConfigurationDocument, type Failure, type Result
 } from '@comfreygrade/core'
-import { contentDigest, DIGEST_BYTES } from './canonical.js'
+import { contentDigest, DIGEST_BYTES } from './canonical-json.js'
 import type { GuaranteeValidator } from './ports.js'
 import type { ControlStateSettings } from './settings.js'
 
@@ -23,7 +23,7 @@
   | { readonly kind: 'refused', readonly failure: Failure }
 
 /** A check that holds as long as the same configuration is in force. */
-interface LastCheck {
+interface CachedCheck {
   readonly change: ConfigurationChange
   readonly base: Configuration
   readonly result: ChangeCheck
@@ -35,8 +35,8 @@
   readonly #validator: GuaranteeValidator
   readonly #digests: ChangeDigests
   readonly #recentChanges: ConfigurationChange[] = []
-  #recentRecords = 0
-  #lastCheck: LastCheck | undefined
+  #recentRecordCount = 0
+  #lastCheck: CachedCheck | undefined
   #current = emptyConfiguration()
 
   constructor (settings: ControlStateSettings, validator: GuaranteeValidator) {
@@ -61,7 +61,7 @@
   }
 
   #check (change: ConfigurationChange): ChangeCheck {
-    if (change.version <= this.#current.version) return this.#checkKnownVersion(change)
+    if (change.version <= this.#current.version) return this.#checkAcceptedVersion(change)
     const result = applyChange(this.#current, change)
     if (!result.ok) return { kind: 'refused', failure: result.failure }
     const problem = this.#checkGuarantees(result.value)
@@ -78,7 +78,7 @@
     this.#current = checked.configuration
     this.#lastCheck = undefined
     this.#digests.add(change.version, contentDigest(change))
-    this.#remember(change)
+    this.#retainChange(change)
     return { ok: true, value: 'applied' }
   }
 
@@ -100,17 +100,17 @@
 
   restore (snapshot: ConfigurationSnapshot): void {
     this.#current = fromDocument(snapshot.document, snapshot.version)
-    for (const change of snapshot.recentChanges) this.#remember(change)
+    for (const change of snapshot.recentChanges) this.#retainChange(change)
     this.#digests.restore(snapshot.version, snapshot.digests)
   }
 
-  #checkKnownVersion (change: ConfigurationChange): ChangeCheck {
+  #checkAcceptedVersion (change: ConfigurationChange): ChangeCheck {
     const digest = this.#digests.get(change.version, this.#current.version)
     if (digest !== undefined && equalBytes(digest, contentDigest(change))) return { kind: 'repeated' }
-    const why = digest === undefined ? 'is too old to compare' : 'was accepted with other content'
+    const conflict = digest === undefined ? 'is too old to compare' : 'was accepted with other content'
     return {
       kind: 'refused',
-      failure: failure('version_conflict', `version ${change.version} ${why}; version ${this.#current.version} is in force`)
+      failure: failure('version_conflict', `version ${change.version} ${conflict}; version ${this.#current.version} is in force`)
     }
   }
 
@@ -121,22 +121,24 @@
     return isUnaffected ? undefined : this.#validator.validate(next)
   }
 
-  #remember (change: ConfigurationChange): void {
+  #retainChange (change: ConfigurationChange): void {
     const { maxRecentChanges, maxRecentChangeRecords } = this.#settings
     this.#recentChanges.push(change)
-    this.#recentRecords += recordsOf(change)
+    this.#recentRecordCount += recordCount(change)
     let dropped = 0
-    while (this.#recentChanges.length - dropped > maxRecentChanges || this.#recentRecords > maxRecentChangeRecords) {
+    while (
+      this.#recentChanges.length - dropped > maxRecentChanges || this.#recentRecordCount > maxRecentChangeRecords
+    ) {
       const oldest = this.#recentChanges[dropped]
       if (oldest === undefined) break
-      this.#recentRecords -= recordsOf(oldest)
+      this.#recentRecordCount -= recordCount(oldest)
       dropped += 1
     }
     if (dropped > 0) this.#recentChanges.splice(0, dropped)
   }
 }
 
-function recordsOf (change: ConfigurationChange): number {
+function recordCount (change: ConfigurationChange): number {
   return change.upserts.length + change.removes.length
 }
 
--- a/packages/control/src/deadline-queue.ts
+++ b/packages/control/src/deadline-queue.ts
@@ -1,6 +1,6 @@
 /** One deadline per key, in a binary heap. */
 
-interface Entry {
+interface HeapEntry {
   readonly key: string
   readonly atMs: number
 }
@@ -17,13 +17,13 @@
 export class DeadlineQueue {
   readonly #deadlines = new Map<string, number>()
   /** Time of the earliest heap entry of each key. */
-  readonly #queuedAt = new Map<string, number>()
-  readonly #heap: Entry[] = []
+  readonly #queuedAtMs = new Map<string, number>()
+  readonly #heap: HeapEntry[] = []
 
   /** Sets or moves the deadline of a key. */
   set (key: string, atMs: number): void {
     this.#deadlines.set(key, atMs)
-    const queuedAtMs = this.#queuedAt.get(key)
+    const queuedAtMs = this.#queuedAtMs.get(key)
     if (queuedAtMs === undefined || atMs < queuedAtMs) this.#push({ key, atMs })
   }
 
@@ -36,8 +36,8 @@
   }
 
   /** Time of the earliest deadline, or one shortly before it; undefined when there is none. */
-  nextAtMs (): number | undefined {
-    this.#dropStale()
+  nextWakeAtMs (): number | undefined {
+    this.#removeStaleEntries()
     return this.#heap[0]?.atMs
   }
 
@@ -46,8 +46,8 @@
     const due: string[] = []
     for (let entry = this.#heap[0]; entry !== undefined && entry.atMs <= nowMs; entry = this.#heap[0]) {
       this.#pop()
-      if (this.#queuedAt.get(entry.key) !== entry.atMs) continue
-      this.#queuedAt.delete(entry.key)
+      if (this.#queuedAtMs.get(entry.key) !== entry.atMs) continue
+      this.#queuedAtMs.delete(entry.key)
       const atMs = this.#deadlines.get(entry.key)
       if (atMs === undefined) continue
       if (atMs > nowMs) {
@@ -60,20 +60,20 @@
     return due
   }
 
-  #dropStale (): void {
+  #removeStaleEntries (): void {
     for (let entry = this.#heap[0]; entry !== undefined; entry = this.#heap[0]) {
-      const isQueued = this.#queuedAt.get(entry.key) === entry.atMs
+      const isCurrent = this.#queuedAtMs.get(entry.key) === entry.atMs
       const atMs = this.#deadlines.get(entry.key)
-      if (isQueued && atMs === entry.atMs) return
+      if (isCurrent && atMs === entry.atMs) return
       this.#pop()
-      if (!isQueued) continue
-      this.#queuedAt.delete(entry.key)
+      if (!isCurrent) continue
+      this.#queuedAtMs.delete(entry.key)
       if (atMs !== undefined) this.#push({ key: entry.key, atMs })
     }
   }
 
-  #push (entry: Entry): void {
-    this.#queuedAt.set(entry.key, entry.atMs)
+  #push (entry: HeapEntry): void {
+    this.#queuedAtMs.set(entry.key, entry.atMs)
     const heap = this.#heap
     let position = heap.length
     heap.push(entry)
@@ -90,10 +90,10 @@
   #pop (): void {
     const last = this.#heap.pop()
     if (last === undefined || this.#heap.length === 0) return
-    this.#sink(last)
+    this.#siftDown(last)
   }
 
-  #sink (entry: Entry): void {
+  #siftDown (entry: HeapEntry): void {
     const heap = this.#heap
     let position = 0
     for (let child = this.#smallerChild(position); child !== undefined; child = this.#smallerChild(position)) {
--- a/packages/control/src/drains.ts
+++ b/packages/control/src/drains.ts
@@ -1,5 +1,5 @@
 /** Drains that operators asked for. */
-import { done, refuse } from './refusals.js'
+import { done, refuse } from './command-results.js'
 import type { CommandResult } from './commands.js'
 import type { Drain, DrainKind } from './operations.js'
 
--- a/packages/control/src/gang-life-cycle.ts
+++ b/packages/control/src/gang-life-cycle.ts
@@ -1,12 +1,12 @@
 /** Drives every placed gang: all tasks are prepared before one starts, and all are released before a cell is reused. */
 import type { TaskReport } from '@comfreygrade/core'
 import { DeadlineQueue, earliest } from './deadline-queue.js'
-import { Gang, nextStep, type GangTask, type StopIntent } from './gang.js'
+import { Gang, nextCommand, type GangTask, type StopRequest } from './gang.js'
 import type { JobRecord } from './jobs.js'
 import type { LeaderContext } from './leader-context.js'
 import type { OrderOutcome } from './order-outbox.js'
 import type { OrderKind } from './orders.js'
-import type { Scheduling } from './scheduling.js'
+import type { SchedulerDriver } from './scheduler-driver.js'
 import type { WorkerAvailability } from './worker-availability.js'
 
 /**
@@ -18,18 +18,18 @@
 /** Gangs under this leader, by job. */
 export class GangLifeCycle {
   readonly #context: LeaderContext
-  readonly #scheduling: Scheduling
+  readonly #schedulerDriver: SchedulerDriver
   readonly #availability: WorkerAvailability
   readonly #gangs = new Map<string, Gang>()
   /** End of preparation, or of the time for a checkpoint. */
   readonly #deadlines = new DeadlineQueue()
   readonly #proposalRetries = new DeadlineQueue()
   /** Requests to leave for jobs whose placement is not committed yet. */
-  readonly #earlyStops = new Map<string, { readonly intent: StopIntent, readonly isReclaimed: boolean }>()
+  readonly #deferredStops = new Map<string, { readonly intent: StopRequest, readonly isReclaimed: boolean }>()
 
-  constructor (context: LeaderContext, scheduling: Scheduling, availability: WorkerAvailability) {
+  constructor (context: LeaderContext, schedulerDriver: SchedulerDriver, availability: WorkerAvailability) {
     this.#context = context
-    this.#scheduling = scheduling
+    this.#schedulerDriver = schedulerDriver
     this.#availability = availability
   }
 
@@ -41,44 +41,44 @@
   resume (job: JobRecord, nowMs: number): void {
     const isPreparing = job.phase === 'preparing'
     const gang = this.#add(job, job.phase === 'running' ? 'started' : job.phase === 'starting' ? 'held' : 'ordered')
-    if (isPreparing) gang.intendStop(requeueBecause('the leader changed during preparation'))
-    if (job.phase === 'starting') this.#orderAll(gang, 'start')
-    if (job.phase === 'stopping') this.#release(gang, job, nowMs)
+    if (isPreparing) gang.requestStop(requeueRequest('the leader changed during preparation'))
+    if (job.phase === 'starting') this.#orderAllTasks(gang, 'start')
+    if (job.phase === 'stopping') this.#releaseTasks(gang, job, nowMs)
     this.#advance(gang, nowMs)
   }
 
   /** Takes in a committed placement: every worker is asked to hold its cell. */
-  placed (job: JobRecord, nowMs: number): void {
+  onPlaced (job: JobRecord, nowMs: number): void {
     const gang = this.#add(job, 'ordered')
     this.#deadlines.set(gang.jobId, nowMs + this.#context.settings.prepareTimeoutMs)
-    this.#orderAll(gang, 'prepare')
-    const early = this.#earlyStops.get(gang.jobId)
-    this.#earlyStops.delete(gang.jobId)
-    if (early !== undefined) this.requestStop(gang.jobId, early.intent, early.isReclaimed, nowMs)
+    this.#orderAllTasks(gang, 'prepare')
+    const deferred = this.#deferredStops.get(gang.jobId)
+    this.#deferredStops.delete(gang.jobId)
+    if (deferred !== undefined) this.requestStop(gang.jobId, deferred.intent, deferred.isReclaimed, nowMs)
   }
 
   /** Takes in a committed `start_job`: every worker is asked to run its task until it accepts. */
-  started (job: JobRecord, nowMs: number): void {
+  onStarted (job: JobRecord, nowMs: number): void {
     const gang = this.#find(job.spec.jobId, job.leaseId)
     if (gang === undefined) return
     this.#deadlines.delete(gang.jobId)
-    this.#orderAll(gang, 'start')
+    this.#orderAllTasks(gang, 'start')
     this.#advance(gang, nowMs)
   }
 
   /** Takes in a committed `stop_job`: every task is released, by checkpoint where that is asked for. */
-  stopping (job: JobRecord, nowMs: number): void {
+  onStopping (job: JobRecord, nowMs: number): void {
     const gang = this.#find(job.spec.jobId, job.leaseId)
     if (gang === undefined) return
-    this.#release(gang, job, nowMs)
+    this.#releaseTasks(gang, job, nowMs)
     this.#advance(gang, nowMs)
   }
 
   /** Takes in that a job has no cells any more. */
-  released (jobId: string, nowMs: number): void {
+  onReleased (jobId: string, nowMs: number): void {
     const gang = this.#gangs.get(jobId)
-    this.#earlyStops.delete(jobId)
-    this.#scheduling.left(jobId, gang?.isReclaimed ?? false, nowMs)
+    this.#deferredStops.delete(jobId)
+    this.#schedulerDriver.onRemoved(jobId, gang?.isReclaimed ?? false, nowMs)
     if (gang === undefined) return
     this.#gangs.delete(jobId)
     this.#deadlines.delete(jobId)
@@ -89,78 +89,78 @@
   }
 
   /** Takes in that a command of a gang was committed, or will not be; a refused one is decided anew after a pause. */
-  proposalEnded (jobId: string, leaseId: number, isDone: boolean, nowMs: number): void {
+  onProposalSettled (jobId: string, leaseId: number, isApplied: boolean, nowMs: number): void {
     const gang = this.#find(jobId, leaseId)
     if (gang === undefined) return
-    gang.isProposing = false
-    if (isDone) this.#advance(gang, nowMs)
+    gang.hasPendingCommand = false
+    if (isApplied) this.#advance(gang, nowMs)
     else this.#proposalRetries.set(jobId, nowMs + this.#context.settings.proposalRetryMs)
   }
 
   /** Asks a placed job to leave, at once or when its placement is committed; false when it is not placed. */
-  requestStop (jobId: string, intent: StopIntent, isReclaimed: boolean, nowMs: number): boolean {
+  requestStop (jobId: string, request: StopRequest, isReclaimed: boolean, nowMs: number): boolean {
     const gang = this.#gangs.get(jobId)
     if (gang === undefined) {
-      const isPlaced = this.#scheduling.isPlaced(jobId)
-      if (isPlaced) this.#earlyStops.set(jobId, { intent, isReclaimed })
+      const isPlaced = this.#schedulerDriver.isPlaced(jobId)
+      if (isPlaced) this.#deferredStops.set(jobId, { intent: request, isReclaimed })
       return isPlaced
     }
     gang.isReclaimed ||= isReclaimed
-    gang.intendStop(intent)
+    gang.requestStop(request)
     this.#advance(gang, nowMs)
     return true
   }
 
   /** Takes in what became of an order. */
-  orderEnded (outcome: OrderOutcome, nowMs: number): void {
+  onOrderOutcome (outcome: OrderOutcome, nowMs: number): void {
     const gang = this.#find(outcome.order.jobId, outcome.order.leaseId)
     const task = gang?.task(outcome.order.taskIndex)
     if (gang === undefined || task === undefined || task.progress === 'released') return
     switch (outcome.order.kind) {
-      case 'prepare': this.#prepareEnded(gang, task, outcome, nowMs); break
-      case 'start': this.#startEnded(gang, task, outcome); break
-      case 'checkpoint': this.#checkpointEnded(gang, task, outcome); break
-      case 'stop': this.#stopEnded(gang, task, outcome); break
+      case 'prepare': this.#onPrepareOutcome(gang, task, outcome, nowMs); break
+      case 'start': this.#onStartOutcome(gang, task, outcome); break
+      case 'checkpoint': this.#onCheckpointOutcome(gang, task, outcome); break
+      case 'stop': this.#onStopOutcome(gang, task, outcome); break
       case 'throttle': break
     }
     this.#advance(gang, nowMs)
   }
 
   /** Takes in a report about the cells held on a worker. */
-  observe (workerId: string, reports: ReadonlyMap<string, TaskReport>, nowMs: number): void {
+  onReport (workerId: string, reports: ReadonlyMap<string, TaskReport>, nowMs: number): void {
     for (const { jobId, leaseId, task: { taskIndex } } of this.#context.state.cellsOn(workerId)) {
       const gang = this.#find(jobId, leaseId)
       const task = gang?.task(taskIndex)
       if (gang === undefined || task === undefined || task.progress === 'released') continue
       const report = reports.get(taskReportKey({ jobId, taskIndex, leaseId }))
-      if (report === undefined) this.#missing(gang, task)
-      else this.#reported(gang, task, report, nowMs)
+      if (report === undefined) this.#onTaskMissing(gang, task)
+      else this.#onTaskReport(gang, task, report, nowMs)
       this.#advance(gang, nowMs)
     }
   }
 
   /** Takes in that a process of a worker, or its lease, is certainly gone with all its tasks. */
-  workerGone (workerId: string, reason: string, nowMs: number): void {
+  onWorkerGone (workerId: string, reason: string, nowMs: number): void {
     for (const { jobId, leaseId, task: { taskIndex } } of this.#context.state.cellsOn(workerId)) {
       const gang = this.#find(jobId, leaseId)
       const task = gang?.task(taskIndex)
       if (gang === undefined || task === undefined || task.progress === 'completed') continue
       task.progress = 'released'
-      gang.intendStop(requeueBecause(reason))
+      gang.requestStop(requeueRequest(reason))
       this.#advance(gang, nowMs)
     }
   }
 
   tick (nowMs: number): void {
-    for (const jobId of this.#deadlines.takeDue(nowMs)) this.#deadlineEnded(jobId, nowMs)
+    for (const jobId of this.#deadlines.takeDue(nowMs)) this.#onDeadline(jobId, nowMs)
     for (const jobId of this.#proposalRetries.takeDue(nowMs)) {
       const gang = this.#gangs.get(jobId)
       if (gang !== undefined) this.#advance(gang, nowMs)
     }
   }
 
-  nextAtMs (): number | undefined {
-    return earliest([this.#deadlines.nextAtMs(), this.#proposalRetries.nextAtMs()])
+  nextWakeAtMs (): number | undefined {
+    return earliest([this.#deadlines.nextWakeAtMs(), this.#proposalRetries.nextWakeAtMs()])
   }
 
   #add (job: JobRecord, progress: GangTask['progress']): Gang {
@@ -176,133 +176,133 @@
 
   #advance (gang: Gang, nowMs: number): void {
     const job = this.#context.state.job(gang.jobId)
-    if (gang.isProposing || job === undefined || job.leaseId !== gang.leaseId) return
+    if (gang.hasPendingCommand || job === undefined || job.leaseId !== gang.leaseId) return
     if (this.#proposalRetries.get(gang.jobId) !== undefined) return
-    const command = nextStep(gang, job)
+    const command = nextCommand(gang, job)
     if (command === undefined) return
-    gang.isProposing = true
+    gang.hasPendingCommand = true
     this.#context.proposals.propose(command, { kind: 'gang', jobId: gang.jobId, leaseId: gang.leaseId }, nowMs)
   }
 
-  #orderAll (gang: Gang, kind: OrderKind): void {
+  #orderAllTasks (gang: Gang, kind: OrderKind): void {
     for (const task of gang.tasks) {
-      if (task.progress !== 'released') this.#order(gang, task, kind)
+      if (task.progress !== 'released') this.#queueOrder(gang, task, kind)
     }
   }
 
-  #order (gang: Gang, { placement }: GangTask, kind: OrderKind): void {
+  #queueOrder (gang: Gang, { placement }: GangTask, kind: OrderKind): void {
     const { taskIndex, firstAccelerator, acceleratorCount, workerId } = placement
     const { jobId, leaseId } = gang
     this.#context.outbox.add(workerId, { kind, jobId, taskIndex, leaseId, firstAccelerator, acceleratorCount })
   }
 
-  #resend (gang: Gang, task: GangTask, kind: OrderKind): void {
+  #retryOrder (gang: Gang, task: GangTask, kind: OrderKind): void {
     this.#context.metrics.increment('retry', { reason: 'order_not_accepted' })
-    this.#order(gang, task, kind)
+    this.#queueOrder(gang, task, kind)
   }
 
-  #release (gang: Gang, job: JobRecord, nowMs: number): void {
+  #releaseTasks (gang: Gang, job: JobRecord, nowMs: number): void {
     const isCheckpoint = job.stop?.isCheckpoint ?? false
     for (const task of gang.tasks) {
       if (task.progress === 'released') continue
-      this.#order(gang, task, isCheckpoint && task.progress !== 'completed' ? 'checkpoint' : 'stop')
+      this.#queueOrder(gang, task, isCheckpoint && task.progress !== 'completed' ? 'checkpoint' : 'stop')
     }
-    const waitMs = this.#releaseWaitMs(job)
-    if (waitMs === undefined) this.#deadlines.delete(gang.jobId)
-    else this.#deadlines.set(gang.jobId, nowMs + waitMs)
+    const timeoutMs = this.#releaseTimeoutMs(job)
+    if (timeoutMs === undefined) this.#deadlines.delete(gang.jobId)
+    else this.#deadlines.set(gang.jobId, nowMs + timeoutMs)
   }
 
   /** Time after which a stopping gang is handled otherwise; undefined where only its workers can end the wait. */
-  #releaseWaitMs ({ stop }: JobRecord): number | undefined {
+  #releaseTimeoutMs ({ stop }: JobRecord): number | undefined {
     const { settings, state } = this.#context
     if (stop?.isUnstarted === true) return settings.unstartedReleaseWaitMs
     if (stop?.isCheckpoint !== true) return undefined
     return Math.max(0, state.configuration.rules.reclaimWithinMs - settings.reclaimStopMarginMs)
   }
 
-  #prepareEnded (gang: Gang, task: GangTask, { workerId, result }: OrderOutcome, nowMs: number): void {
+  #onPrepareOutcome (gang: Gang, task: GangTask, { workerId, result }: OrderOutcome, nowMs: number): void {
     if (result === 'accepted') {
       if (task.progress === 'ordered') task.progress = 'held'
       return
     }
     if (this.#phaseOf(gang) !== 'preparing') return
     this.#availability.exclude(workerId, nowMs)
-    gang.intendStop(requeueBecause(`worker ${workerId} did not prepare its task (${result})`))
+    gang.requestStop(requeueRequest(`worker ${workerId} did not prepare its task (${result})`))
   }
 
-  #startEnded (gang: Gang, task: GangTask, { workerId, result }: OrderOutcome): void {
+  #onStartOutcome (gang: Gang, task: GangTask, { workerId, result }: OrderOutcome): void {
     if (this.#phaseOf(gang) === 'stopping') return
     if (result === 'accepted') {
       if (task.progress === 'held') task.progress = 'started'
-      this.#availability.worked(workerId)
+      this.#availability.resetExclusionBackoff(workerId)
       return
     }
     if (result === 'unknown_lease' && task.progress !== 'completed') {
       task.progress = 'released'
-      gang.intendStop(requeueBecause(`worker ${workerId} has given up its task`))
+      gang.requestStop(requeueRequest(`worker ${workerId} has given up its task`))
       return
     }
-    if (result === 'refused') gang.intendStop(requeueBecause(`worker ${workerId} refused to start its task`))
-    else if (task.progress === 'held') this.#resend(gang, task, 'start')
+    if (result === 'refused') gang.requestStop(requeueRequest(`worker ${workerId} refused to start its task`))
+    else if (task.progress === 'held') this.#retryOrder(gang, task, 'start')
   }
 
-  #checkpointEnded (gang: Gang, task: GangTask, { result }: OrderOutcome): void {
+  #onCheckpointOutcome (gang: Gang, task: GangTask, { result }: OrderOutcome): void {
     if (result === 'unknown_lease') task.progress = 'released'
-    else if (result === 'refused') this.#order(gang, task, 'stop')
-    else if (result !== 'accepted' && this.#deadlines.get(gang.jobId) !== undefined) this.#resend(gang, task, 'checkpoint')
+    else if (result === 'refused') this.#queueOrder(gang, task, 'stop')
+    else if (result !== 'accepted' && this.#deadlines.get(gang.jobId) !== undefined) this.#retryOrder(gang, task, 'checkpoint')
   }
 
-  #stopEnded (gang: Gang, task: GangTask, { result }: OrderOutcome): void {
+  #onStopOutcome (gang: Gang, task: GangTask, { result }: OrderOutcome): void {
     const isReleased = result === 'accepted' || result === 'unknown_lease'
     if (isReleased && task.progress !== 'completed') task.progress = 'released'
-    if (!isReleased) this.#resend(gang, task, 'stop')
+    if (!isReleased) this.#retryOrder(gang, task, 'stop')
   }
 
-  #missing (gang: Gang, task: GangTask): void {
+  #onTaskMissing (gang: Gang, task: GangTask): void {
     if (task.progress !== 'held' && task.progress !== 'started') return
     task.missingReports += 1
     if (task.missingReports < MAX_MISSING_REPORTS) return
-    gang.intendStop(requeueBecause(`worker ${task.placement.workerId} no longer reports its task`))
+    gang.requestStop(requeueRequest(`worker ${task.placement.workerId} no longer reports its task`))
   }
 
-  #reported (gang: Gang, task: GangTask, { state }: TaskReport, nowMs: number): void {
+  #onTaskReport (gang: Gang, task: GangTask, { state }: TaskReport, nowMs: number): void {
     task.missingReports = 0
     switch (state) {
       case 'prepared': if (task.progress === 'ordered') task.progress = 'held'; break
       case 'running': if (task.progress !== 'completed') task.progress = 'started'; break
       case 'completed': task.progress = 'completed'; break
-      case 'failed': this.#taskFailed(gang, task, nowMs); break
+      case 'failed': this.#onTaskFailed(gang, task, nowMs); break
       case 'stopped':
         task.progress = 'released'
-        gang.intendStop(requeueBecause(`worker ${task.placement.workerId} stopped its task`))
+        gang.requestStop(requeueRequest(`worker ${task.placement.workerId} stopped its task`))
         break
     }
   }
 
-  #taskFailed (gang: Gang, task: GangTask, nowMs: number): void {
+  #onTaskFailed (gang: Gang, task: GangTask, nowMs: number): void {
     const { workerId, taskIndex } = task.placement
     task.progress = 'released'
     this.#context.scheduler.taskFailed(gang.jobId, workerId, nowMs)
-    this.#scheduling.markChanged()
-    gang.intendStop(requeueBecause(`task ${taskIndex} failed on worker ${workerId}`))
+    this.#schedulerDriver.requestPass()
+    gang.requestStop(requeueRequest(`task ${taskIndex} failed on worker ${workerId}`))
   }
 
-  #deadlineEnded (jobId: string, nowMs: number): void {
+  #onDeadline (jobId: string, nowMs: number): void {
     const gang = this.#gangs.get(jobId)
     if (gang === undefined) return
     const phase = this.#phaseOf(gang)
-    if (phase === 'stopping') this.#releaseWaitEnded(gang, nowMs)
+    if (phase === 'stopping') this.#onReleaseTimeout(gang, nowMs)
     if (phase !== 'preparing') return
-    const late = gang.tasks.filter(task => task.progress === 'ordered')
-    if (late.length === 0) return
-    for (const { placement } of late) this.#availability.exclude(placement.workerId, nowMs)
-    gang.intendStop(requeueBecause(`${late.length} of ${gang.tasks.length} tasks were not prepared in time`))
+    const unprepared = gang.tasks.filter(task => task.progress === 'ordered')
+    if (unprepared.length === 0) return
+    for (const { placement } of unprepared) this.#availability.exclude(placement.workerId, nowMs)
+    gang.requestStop(requeueRequest(`${unprepared.length} of ${gang.tasks.length} tasks were not prepared in time`))
     this.#advance(gang, nowMs)
   }
 
-  #releaseWaitEnded (gang: Gang, nowMs: number): void {
+  #onReleaseTimeout (gang: Gang, nowMs: number): void {
     if (this.#context.state.job(gang.jobId)?.stop?.isUnstarted !== true) {
-      this.#orderAll(gang, 'stop')
+      this.#orderAllTasks(gang, 'stop')
       return
     }
     this.#context.metrics.increment('release_unconfirmed')
@@ -326,6 +326,6 @@
   return `${leaseId}/${taskIndex}/${jobId}`
 }
 
-function requeueBecause (reason: string): StopIntent {
+function requeueRequest (reason: string): StopRequest {
   return { reason, isCheckpoint: false, goal: 'requeue' }
 }
--- a/packages/control/src/gang.ts
+++ b/packages/control/src/gang.ts
@@ -1,6 +1,6 @@
 /** One placed gang in the memory of the leader, and the next step of its life cycle. */
 import type { TaskPlacement } from '@comfreygrade/core'
-import { mayRequeue, type JobRecord } from './jobs.js'
+import { canRequeue, type JobRecord } from './jobs.js'
 import type { ControlCommand, StopGoal } from './commands.js'
 
 /** How far a task is known to be; `released` means that it certainly runs no more and holds nothing. */
@@ -15,7 +15,7 @@
 }
 
 /** Why a gang has to leave its cells and what follows; a job that may not run again ends as failed instead. */
-export interface StopIntent {
+export interface StopRequest {
   readonly reason: string
   readonly isCheckpoint: boolean
   readonly goal: StopGoal
@@ -27,10 +27,10 @@
   readonly leaseId: number
   readonly tasks: readonly GangTask[]
   /** Set while a command of the life cycle is in flight, so that no step is taken twice. */
-  isProposing = false
+  hasPendingCommand = false
   /** Set when the scheduler asked the job to leave. */
   isReclaimed = false
-  #stopIntent: StopIntent | undefined
+  #stopRequest: StopRequest | undefined
 
   constructor (job: JobRecord, progress: TaskProgress) {
     this.jobId = job.spec.jobId
@@ -38,14 +38,14 @@
     this.tasks = (job.placement?.tasks ?? []).map(placement => ({ placement, progress, missingReports: 0 }))
   }
 
-  get stopIntent (): StopIntent | undefined {
-    return this.#stopIntent
+  get stopRequest (): StopRequest | undefined {
+    return this.#stopRequest
   }
 
   /** Keeps the first reason; only an end replaces a requeue. */
-  intendStop (intent: StopIntent): void {
-    if (this.#stopIntent === undefined || (this.#stopIntent.goal === 'requeue' && intent.goal !== 'requeue')) {
-      this.#stopIntent = intent
+  requestStop (request: StopRequest): void {
+    if (this.#stopRequest === undefined || (this.#stopRequest.goal === 'requeue' && request.goal !== 'requeue')) {
+      this.#stopRequest = request
     }
   }
 
@@ -53,7 +53,7 @@
     return this.tasks.find(task => task.placement.taskIndex === taskIndex)
   }
 
-  every (...progress: readonly TaskProgress[]): boolean {
+  isEveryTask (...progress: readonly TaskProgress[]): boolean {
     return this.tasks.every(task => progress.includes(task.progress))
   }
 }
@@ -64,50 +64,50 @@
  * @example
  * nextStep(gang, job)?.kind // 'start_job' when all workers of a preparing gang hold their cells
  */
-export function nextStep (gang: Gang, job: JobRecord): ControlCommand | undefined {
+export function nextCommand (gang: Gang, job: JobRecord): ControlCommand | undefined {
   switch (job.phase) {
-    case 'preparing': return stopStep(gang, job) ?? startStep(gang)
-    case 'starting': return completedStep(gang) ?? stopStep(gang, job) ?? runningStep(gang)
-    case 'running': return completedStep(gang) ?? stopStep(gang, job)
-    case 'stopping': return overrideStep(gang, job) ?? releaseStep(gang, job)
+    case 'preparing': return stopCommand(gang, job) ?? startCommand(gang)
+    case 'starting': return completedCommand(gang) ?? stopCommand(gang, job) ?? runningCommand(gang)
+    case 'running': return completedCommand(gang) ?? stopCommand(gang, job)
+    case 'stopping': return overrideCommand(gang, job) ?? releaseCommand(gang, job)
     default: return undefined
   }
 }
 
-function startStep (gang: Gang): ControlCommand | undefined {
-  return gang.every('held') ? { kind: 'start_job', jobId: gang.jobId, leaseId: gang.leaseId } : undefined
+function startCommand (gang: Gang): ControlCommand | undefined {
+  return gang.isEveryTask('held') ? { kind: 'start_job', jobId: gang.jobId, leaseId: gang.leaseId } : undefined
 }
 
-function runningStep (gang: Gang): ControlCommand | undefined {
-  return gang.every('started', 'completed')
+function runningCommand (gang: Gang): ControlCommand | undefined {
+  return gang.isEveryTask('started', 'completed')
     ? { kind: 'job_running', jobId: gang.jobId, leaseId: gang.leaseId }
     : undefined
 }
 
-function completedStep ({ jobId, leaseId, tasks }: Gang): ControlCommand | undefined {
+function completedCommand ({ jobId, leaseId, tasks }: Gang): ControlCommand | undefined {
   const isCompleted = tasks.every(task => task.progress === 'completed')
   return isCompleted
     ? { kind: 'end_job', jobId, leaseId, outcome: 'completed', reason: 'all tasks completed' }
     : undefined
 }
 
-function stopStep ({ jobId, leaseId, stopIntent }: Gang, job: JobRecord): ControlCommand | undefined {
+function stopCommand ({ jobId, leaseId, stopRequest: stopIntent }: Gang, job: JobRecord): ControlCommand | undefined {
   if (stopIntent === undefined) return undefined
   const { reason, isCheckpoint, goal } = stopIntent
-  const then = goal === 'requeue' && !mayRequeue(job) ? 'failed' : goal
-  const mayCheckpoint = job.phase === 'running' && job.spec.preemption === 'checkpoint'
-  return { kind: 'stop_job', jobId, leaseId, reason, isCheckpoint: isCheckpoint && mayCheckpoint, then }
+  const then = goal === 'requeue' && !canRequeue(job) ? 'failed' : goal
+  const canCheckpoint = job.phase === 'running' && job.spec.preemption === 'checkpoint'
+  return { kind: 'stop_job', jobId, leaseId, reason, isCheckpoint: isCheckpoint && canCheckpoint, then }
 }
 
-function overrideStep (gang: Gang, job: JobRecord): ControlCommand | undefined {
-  const isOverride = gang.stopIntent !== undefined && gang.stopIntent.goal !== 'requeue' && job.stop?.then === 'requeue'
-  return isOverride ? stopStep(gang, job) : undefined
+function overrideCommand (gang: Gang, job: JobRecord): ControlCommand | undefined {
+  const isRequeueOverridden = gang.stopRequest !== undefined && gang.stopRequest.goal !== 'requeue' && job.stop?.then === 'requeue'
+  return isRequeueOverridden ? stopCommand(gang, job) : undefined
 }
 
-function releaseStep (gang: Gang, job: JobRecord): ControlCommand | undefined {
+function releaseCommand (gang: Gang, job: JobRecord): ControlCommand | undefined {
   const { jobId, leaseId } = gang
-  if (job.stop?.isUnstarted === false && gang.every('completed')) return completedStep(gang)
-  if (!gang.every('completed', 'released')) return undefined
+  if (job.stop?.isUnstarted === false && gang.isEveryTask('completed')) return completedCommand(gang)
+  if (!gang.isEveryTask('completed', 'released')) return undefined
   const then = job.stop?.then ?? 'requeue'
   return then === 'requeue'
     ? { kind: 'requeue_job', jobId, leaseId, reason: job.detail }
--- a/packages/control/src/jobs.ts
+++ b/packages/control/src/jobs.ts
@@ -1,9 +1,9 @@
 /** Jobs from submission until some time after their end. */
 import type { JobOutcome, JobPhase, JobSpec, Placement } from '@comfreygrade/core'
-import { canonicalJson } from './canonical.js'
+import { canonicalJson } from './canonical-json.js'
 import { Fifo } from './fifo.js'
-import { HeldCells } from './held-cells.js'
-import { done, refuse } from './refusals.js'
+import { CellAllocations } from './cell-allocations.js'
+import { done, refuse } from './command-results.js'
 import type { CommandResult, ControlCommand, StopGoal } from './commands.js'
 import type { JobView } from './operations.js'
 import type { ControlStateSettings } from './settings.js'
@@ -39,9 +39,9 @@
   readonly #settings: ControlStateSettings
   readonly #jobs = new Map<string, JobRecord>()
   readonly #idsByPhase = new PhaseIndex()
-  readonly #openByOrganisation = new Map<string, number>()
-  readonly #ended = new Fifo<string>()
-  readonly cells = new HeldCells()
+  readonly #openCountByOrganisation = new Map<string, number>()
+  readonly #endedByAge = new Fifo<string>()
+  readonly allocations = new CellAllocations()
 
   constructor (settings: ControlStateSettings) {
     this.#settings = settings
@@ -62,19 +62,19 @@
 
   /** Identifiers of the jobs in a phase. */
   idsInPhase (phase: JobPhase): ReadonlySet<string> {
-    return this.#idsByPhase.get(phase)
+    return this.#idsByPhase.idsInPhase(phase)
   }
 
   /** Adds a waiting job. The same ID with the same content is done before; other content is refused. */
   submit (spec: JobSpec, at: LogPosition): CommandResult {
     const existing = this.#jobs.get(spec.jobId)
-    if (existing !== undefined) return isSameSpec(existing.spec, spec) ? done : refuseOtherContent(spec.jobId)
+    if (existing !== undefined) return isSameSpec(existing.spec, spec) ? done : refuseDifferentSpec(spec.jobId)
     const { maxOpenJobs, maxOpenJobsPerOrganisation } = this.#settings
-    const open = this.#jobs.size - this.#ended.size
+    const open = this.#jobs.size - this.#endedByAge.size
     if (open >= maxOpenJobs) return refuse('queue_full', `${open} jobs are open, ${maxOpenJobs} are allowed`)
-    const ownOpen = this.#openByOrganisation.get(spec.organisationId) ?? 0
-    if (ownOpen >= maxOpenJobsPerOrganisation) {
-      return refuse('quota_exceeded', `organisation ${spec.organisationId} has ${ownOpen} open jobs, ${maxOpenJobsPerOrganisation} are allowed`)
+    const organisationOpen = this.#openCountByOrganisation.get(spec.organisationId) ?? 0
+    if (organisationOpen >= maxOpenJobsPerOrganisation) {
+      return refuse('quota_exceeded', `organisation ${spec.organisationId} has ${organisationOpen} open jobs, ${maxOpenJobsPerOrganisation} are allowed`)
     }
     this.#insert({
       spec,
@@ -95,68 +95,68 @@
   /** Gives a waiting job its cells; the caller has checked the workers. */
   place ({ jobId, placement }: CommandOf<'place_job'>, at: LogPosition): CommandResult {
     const job = this.#jobs.get(jobId)
-    if (job === undefined) return refuseUnknown(jobId)
-    if (job.phase !== 'waiting') return refusePhase(job)
-    const problem = this.#findPlacementProblem(job.spec, placement)
+    if (job === undefined) return refuseUnknownJob(jobId)
+    if (job.phase !== 'waiting') return refuseWrongPhase(job)
+    const problem = this.#findPlacementError(job.spec, placement)
     if (problem !== undefined) return refuse('invalid_request', `job ${jobId}: ${problem}`)
-    this.cells.hold(jobId, at.index, placement)
-    this.#change(job, { phase: 'preparing', placement, leaseId: at.index, detail: placement.reason }, at)
+    this.allocations.allocate(jobId, at.index, placement)
+    this.#update(job, { phase: 'preparing', placement, leaseId: at.index, detail: placement.reason }, at)
     return done
   }
 
   start ({ jobId, leaseId }: CommandOf<'start_job'>, at: LogPosition): CommandResult {
     return this.#withLease(jobId, leaseId, ['preparing'], job =>
-      this.#change(job, { phase: 'starting', starts: job.starts + 1, detail: 'all workers prepared' }, at))
+      this.#update(job, { phase: 'starting', starts: job.starts + 1, detail: 'all workers prepared' }, at))
   }
 
-  running ({ jobId, leaseId }: CommandOf<'job_running'>, at: LogPosition): CommandResult {
+  markRunning ({ jobId, leaseId }: CommandOf<'job_running'>, at: LogPosition): CommandResult {
     return this.#withLease(jobId, leaseId, ['starting'], job =>
-      this.#change(job, { phase: 'running', detail: 'all tasks started' }, at))
+      this.#update(job, { phase: 'running', detail: 'all tasks started' }, at))
   }
 
   stop ({ jobId, leaseId, reason, isCheckpoint, then }: CommandOf<'stop_job'>, at: LogPosition): CommandResult {
     const job = this.#jobs.get(jobId)
-    if (job !== undefined && then === 'requeue' && !mayRequeue(job)) {
+    if (job !== undefined && then === 'requeue' && !canRequeue(job)) {
       return refuse('invalid_request', `job ${jobId} has started and may not be started again`)
     }
-    if (job?.phase === 'stopping' && (job.stop?.then !== 'requeue' || then === 'requeue')) return refusePhase(job)
+    if (job?.phase === 'stopping' && (job.stop?.then !== 'requeue' || then === 'requeue')) return refuseWrongPhase(job)
     return this.#withLease(jobId, leaseId, ['preparing', 'starting', 'running', 'stopping'], placed => {
       const isUnstarted = placed.stop?.isUnstarted ?? placed.phase === 'preparing'
-      this.#change(placed, { phase: 'stopping', stop: { isCheckpoint, then, isUnstarted }, detail: reason }, at)
+      this.#update(placed, { phase: 'stopping', stop: { isCheckpoint, then, isUnstarted }, detail: reason }, at)
     })
   }
 
   requeue ({ jobId, leaseId, reason }: CommandOf<'requeue_job'>, at: LogPosition): CommandResult {
     const job = this.#jobs.get(jobId)
-    if (job?.phase === 'stopping' && job.stop?.then !== 'requeue') return refusePhase(job)
+    if (job?.phase === 'stopping' && job.stop?.then !== 'requeue') return refuseWrongPhase(job)
     return this.#withLease(jobId, leaseId, ['stopping'], stopping => {
-      this.#release(stopping)
-      this.#change(stopping, { phase: 'waiting', placement: null, leaseId: 0, stop: null, detail: reason }, at)
+      this.#releaseCells(stopping)
+      this.#update(stopping, { phase: 'waiting', placement: null, leaseId: 0, stop: null, detail: reason }, at)
     })
   }
 
   /** Ends a job; a placed one when it completed, or when it was stopped for this outcome. */
   end ({ jobId, leaseId, outcome, reason }: CommandOf<'end_job'>, at: LogPosition): CommandResult {
     const job = this.#jobs.get(jobId)
-    if (job !== undefined && !mayEnd(job, outcome)) return refusePhase(job)
+    if (job !== undefined && !canEnd(job, outcome)) return refuseWrongPhase(job)
     return this.#withLease(jobId, leaseId, ['waiting', 'starting', 'running', 'stopping'], open => {
-      this.#release(open)
-      this.#change(open, { phase: 'ended', outcome, placement: null, leaseId: 0, stop: null, detail: reason }, at)
-      this.#ended.push(jobId)
-      this.#addOpen(open.spec.organisationId, -1)
+      this.#releaseCells(open)
+      this.#update(open, { phase: 'ended', outcome, placement: null, leaseId: 0, stop: null, detail: reason }, at)
+      this.#endedByAge.push(jobId)
+      this.#adjustOpenCount(open.spec.organisationId, -1)
     })
   }
 
   /** Forgets ended jobs that are too old or too many; each job is touched once. */
-  forget (logTimeMs: number): void {
+  removeExpired (logTimeMs: number): void {
     const { endedJobRetentionMs, maxEndedJobs } = this.#settings
-    for (let jobId = this.#ended.peek(); jobId !== undefined; jobId = this.#ended.peek()) {
+    for (let jobId = this.#endedByAge.peek(); jobId !== undefined; jobId = this.#endedByAge.peek()) {
       const job = this.#jobs.get(jobId)
       const isKept = job !== undefined && job.changedLogMs + endedJobRetentionMs > logTimeMs
-      if (isKept && this.#ended.size <= maxEndedJobs) return
-      this.#ended.shift()
+      if (isKept && this.#endedByAge.size <= maxEndedJobs) return
+      this.#endedByAge.shift()
       this.#jobs.delete(jobId)
-      this.#idsByPhase.get('ended').delete(jobId)
+      this.#idsByPhase.idsInPhase('ended').delete(jobId)
     }
   }
 
@@ -164,32 +164,32 @@
   restore (records: readonly JobRecord[]): void {
     for (const record of records) {
       this.#insert(record)
-      if (record.placement !== null) this.cells.hold(record.spec.jobId, record.leaseId, record.placement)
+      if (record.placement !== null) this.allocations.allocate(record.spec.jobId, record.leaseId, record.placement)
     }
     const ended = records.filter(record => record.phase === 'ended')
     for (const { spec } of ended.sort((left, right) => left.changedIndex - right.changedIndex)) {
-      this.#ended.push(spec.jobId)
-      this.#addOpen(spec.organisationId, -1)
+      this.#endedByAge.push(spec.jobId)
+      this.#adjustOpenCount(spec.organisationId, -1)
     }
   }
 
   #insert (record: JobRecord): void {
     this.#jobs.set(record.spec.jobId, record)
-    this.#idsByPhase.get(record.phase).add(record.spec.jobId)
-    this.#addOpen(record.spec.organisationId, 1)
+    this.#idsByPhase.idsInPhase(record.phase).add(record.spec.jobId)
+    this.#adjustOpenCount(record.spec.organisationId, 1)
   }
 
-  #change (job: JobRecord, changes: Partial<JobRecord>, at: LogPosition): void {
+  #update (job: JobRecord, changes: Partial<JobRecord>, at: LogPosition): void {
     const { jobId } = job.spec
     const changed: JobRecord = { ...job, ...changes, changedLogMs: at.logTimeMs, changedIndex: at.index }
     this.#jobs.set(jobId, changed)
     if (changed.phase === job.phase) return
-    this.#idsByPhase.get(job.phase).delete(jobId)
-    this.#idsByPhase.get(changed.phase).add(jobId)
+    this.#idsByPhase.idsInPhase(job.phase).delete(jobId)
+    this.#idsByPhase.idsInPhase(changed.phase).add(jobId)
   }
 
-  #release (job: JobRecord): void {
-    if (job.placement !== null) this.cells.release(job.spec.jobId, job.placement)
+  #releaseCells (job: JobRecord): void {
+    if (job.placement !== null) this.allocations.release(job.spec.jobId, job.placement)
   }
 
   /** Runs `apply` when the job is in one of the phases under this lease; a late or doubled command is refused. */
@@ -200,8 +200,8 @@
     apply: (job: JobRecord) => void
   ): CommandResult {
     const job = this.#jobs.get(jobId)
-    if (job === undefined) return refuseUnknown(jobId)
-    if (!phases.includes(job.phase)) return refusePhase(job)
+    if (job === undefined) return refuseUnknownJob(jobId)
+    if (!phases.includes(job.phase)) return refuseWrongPhase(job)
     if (job.leaseId !== leaseId) {
       return refuse('stale_term', `job ${jobId} has lease ${job.leaseId}, the command names ${leaseId}`)
     }
@@ -209,26 +209,26 @@
     return done
   }
 
-  #findPlacementProblem (spec: JobSpec, { tasks }: Placement): string | undefined {
+  #findPlacementError (spec: JobSpec, { tasks }: Placement): string | undefined {
     if (tasks.length !== spec.tasks) return `${tasks.length} tasks are placed, the gang has ${spec.tasks}`
-    const seen = new HeldCells()
-    const indexes = new Set<number>()
+    const gangAllocations = new CellAllocations()
+    const taskIndexes = new Set<number>()
     for (const task of tasks) {
       if (task.taskIndex < 0 || task.taskIndex >= spec.tasks) return `task ${task.taskIndex} does not exist`
-      if (indexes.has(task.taskIndex)) return `task ${task.taskIndex} is placed twice`
+      if (taskIndexes.has(task.taskIndex)) return `task ${task.taskIndex} is placed twice`
       if (task.acceleratorCount < spec.acceleratorsPerTask) return `task ${task.taskIndex} has too few accelerators`
-      const other = seen.findOverlap(task) ?? this.cells.findOverlap(task)
-      if (other !== undefined) return `accelerators of worker ${task.workerId} are held by job ${other.jobId}`
-      indexes.add(task.taskIndex)
-      seen.hold(spec.jobId, 0, { capacityClass: 'lent', reason: '', tasks: [task] })
+      const conflict = gangAllocations.findConflict(task) ?? this.allocations.findConflict(task)
+      if (conflict !== undefined) return `accelerators of worker ${task.workerId} are held by job ${conflict.jobId}`
+      taskIndexes.add(task.taskIndex)
+      gangAllocations.allocate(spec.jobId, 0, { capacityClass: 'lent', reason: '', tasks: [task] })
     }
     return undefined
   }
 
-  #addOpen (organisationId: string, change: number): void {
-    const count = (this.#openByOrganisation.get(organisationId) ?? 0) + change
-    if (count === 0) this.#openByOrganisation.delete(organisationId)
-    else this.#openByOrganisation.set(organisationId, count)
+  #adjustOpenCount (organisationId: string, change: number): void {
+    const count = (this.#openCountByOrganisation.get(organisationId) ?? 0) + change
+    if (count === 0) this.#openCountByOrganisation.delete(organisationId)
+    else this.#openCountByOrganisation.set(organisationId, count)
   }
 }
 
@@ -238,7 +238,7 @@
  * @example
  * mayRequeue(job) // false for a started job with preemption 'none'
  */
-export function mayRequeue (job: Pick<JobRecord, 'spec' | 'starts'>): boolean {
+export function canRequeue (job: Pick<JobRecord, 'spec' | 'starts'>): boolean {
   return job.spec.preemption !== 'none' || job.starts === 0
 }
 
@@ -265,7 +265,7 @@
 
 /** Jobs by phase, so that a list of the waiting ones does not walk over the ended ones. */
 class PhaseIndex {
-  readonly #ids: Record<JobPhase, Set<string>> = {
+  readonly #idsByPhase: Record<JobPhase, Set<string>> = {
     waiting: new Set(),
     preparing: new Set(),
     starting: new Set(),
@@ -274,12 +274,12 @@
     ended: new Set()
   }
 
-  get (phase: JobPhase): Set<string> {
-    return this.#ids[phase]
+  idsInPhase (phase: JobPhase): Set<string> {
+    return this.#idsByPhase[phase]
   }
 }
 
-function mayEnd (job: JobRecord, outcome: JobOutcome): boolean {
+function canEnd (job: JobRecord, outcome: JobOutcome): boolean {
   switch (job.phase) {
     case 'waiting': return outcome !== 'completed'
     case 'starting':
@@ -289,14 +289,14 @@
   }
 }
 
-function refuseUnknown (jobId: string): CommandResult {
+function refuseUnknownJob (jobId: string): CommandResult {
   return refuse('not_found', `job ${jobId} does not exist`)
 }
 
-function refusePhase (job: JobRecord): CommandResult {
+function refuseWrongPhase (job: JobRecord): CommandResult {
   return refuse('stale_term', `job ${job.spec.jobId} is ${job.phase} (${job.detail})`)
 }
 
-function refuseOtherContent (jobId: string): CommandResult {
+function refuseDifferentSpec (jobId: string): CommandResult {
   return refuse('job_exists', `job ${jobId} exists with other content`)
 }
--- a/packages/control/src/leader-context.ts
+++ b/packages/control/src/leader-context.ts
@@ -2,7 +2,7 @@
 import type { EventLog, Metrics } from '@comfreygrade/core'
 import type { OrderOutbox } from './order-outbox.js'
 import type { JobScheduler } from './ports.js'
-import type { Proposals } from './proposals.js'
+import type { PendingProposals } from './pending-proposals.js'
 import type { ControlSettings } from './settings.js'
 import type { ControlState } from './state.js'
 import type { WorkerLeases } from './worker-leases.js'
@@ -15,7 +15,7 @@
   readonly settings: ControlSettings
   readonly metrics: Metrics
   readonly log: EventLog
-  readonly proposals: Proposals
+  readonly proposals: PendingProposals
   readonly outbox: OrderOutbox
   readonly leases: WorkerLeases
 }
--- a/packages/control/src/leader.ts
+++ b/packages/control/src/leader.ts
@@ -5,8 +5,8 @@
 import { GangLifeCycle } from './gang-life-cycle.js'
 import { OperationService } from './operation-service.js'
 import { OrderOutbox, type OrderOutcome } from './order-outbox.js'
-import { Proposals, type Proposal } from './proposals.js'
-import { Scheduling } from './scheduling.js'
+import { PendingProposals, type Proposal } from './pending-proposals.js'
+import { SchedulerDriver } from './scheduler-driver.js'
 import { WorkerAvailability } from './worker-availability.js'
 import { WorkerLeases } from './worker-leases.js'
 import { WorkerService } from './worker-service.js'
@@ -42,26 +42,26 @@
 export class ControlLeader {
   readonly #context: LeaderContext
   readonly #effects: ControlEffect[] = []
-  readonly #scheduling: Scheduling
+  readonly #schedulerDriver: SchedulerDriver
   readonly #availability: WorkerAvailability
   readonly #gangs: GangLifeCycle
   readonly #workers: WorkerService
   readonly #operations: OperationService
   /** Waiting jobs whose end was proposed and not committed. */
-  readonly #waitingRetries = new DeadlineQueue()
+  readonly #endRetries = new DeadlineQueue()
   #isStarted = false
-  #clockAtMs = 0
+  #nextClockAtMs = 0
 
   constructor (options: ControlLeaderOptions) {
     const { term, settings } = options
     const leases = new WorkerLeases(settings)
     const outbox = new OrderOutbox(term, settings, workerId => leases.get(workerId))
-    this.#context = { ...options, proposals: new Proposals(term, this.#effects), outbox, leases }
-    this.#scheduling = new Scheduling(this.#context)
-    this.#availability = new WorkerAvailability(this.#context, this.#scheduling)
-    this.#gangs = new GangLifeCycle(this.#context, this.#scheduling, this.#availability)
+    this.#context = { ...options, proposals: new PendingProposals(term, this.#effects), outbox, leases }
+    this.#schedulerDriver = new SchedulerDriver(this.#context)
+    this.#availability = new WorkerAvailability(this.#context, this.#schedulerDriver)
+    this.#gangs = new GangLifeCycle(this.#context, this.#schedulerDriver, this.#availability)
     this.#workers = new WorkerService(this.#context, this.#gangs, this.#availability)
-    this.#operations = new OperationService(this.#context, this.#scheduling, this.#workers, this.#effects)
+    this.#operations = new OperationService(this.#context, this.#schedulerDriver, this.#workers, this.#effects)
   }
 
   /** Takes in one event and gives what has to be done, in order. The term starts with the first event. */
@@ -76,37 +76,37 @@
   nextWakeAtMs (): number {
     if (!this.#isStarted) return 0
     return earliest([
-      this.#clockAtMs,
-      this.#scheduling.nextAtMs(),
-      this.#availability.nextAtMs(),
-      this.#gangs.nextAtMs(),
-      this.#waitingRetries.nextAtMs(),
-      this.#workers.nextAtMs(),
-      this.#context.outbox.nextAtMs()
-    ]) ?? this.#clockAtMs
+      this.#nextClockAtMs,
+      this.#schedulerDriver.nextWakeAtMs(),
+      this.#availability.nextWakeAtMs(),
+      this.#gangs.nextWakeAtMs(),
+      this.#endRetries.nextWakeAtMs(),
+      this.#workers.nextWakeAtMs(),
+      this.#context.outbox.nextWakeAtMs()
+    ]) ?? this.#nextClockAtMs
   }
 
   /** Ends the term: everything that waits for an answer gets one. The leader is not used afterwards. */
   close (nowMs: number): ControlEffect[] {
-    for (const proposal of this.#context.proposals.takeAll()) this.#operations.rejected(proposal, false, nowMs)
-    this.#refuseUnproven()
+    for (const proposal of this.#context.proposals.takeAll()) this.#operations.onRejected(proposal, false, nowMs)
+    this.#refusePendingReports()
     return this.#effects.splice(0)
   }
 
   #start (nowMs: number): void {
     this.#isStarted = true
-    this.#clockAtMs = nowMs + this.#context.settings.clockIntervalMs
+    this.#nextClockAtMs = nowMs + this.#context.settings.clockIntervalMs
     const { state, scheduler, log, term } = this.#context
     log.info('control term started', { term, version: state.configuration.version })
     scheduler.applyConfiguration(state.configuration)
     this.#workers.start(nowMs)
     for (const phase of ['preparing', 'starting', 'running', 'stopping'] as const) {
       for (const job of this.#jobsInPhase(phase)) {
-        this.#scheduling.placed(job, nowMs)
+        this.#schedulerDriver.onPlaced(job, nowMs)
         this.#gangs.resume(job, nowMs)
       }
     }
-    for (const job of this.#jobsInPhase('waiting')) this.#wait(job, nowMs)
+    for (const job of this.#jobsInPhase('waiting')) this.#enqueue(job, nowMs)
     this.#workers.dropTasksOfLostWorkers(nowMs)
   }
 
@@ -120,25 +120,25 @@
     const { outbox } = this.#context
     switch (event.kind) {
       case 'operation': this.#operations.handle(event.requestId, event.operation, nowMs); break
-      case 'applied': this.#applied(event, nowMs); break
-      case 'proposal_rejected': this.#rejected(event.proposalId, event.outcome === 'not_applied', nowMs); break
-      case 'orders_answered': this.#ordersEnded(outbox.answered(event.orderId, event.results, nowMs), nowMs); break
-      case 'orders_failed': this.#ordersEnded(outbox.failed(event.orderId, nowMs), nowMs); break
-      case 'worker_reported': this.#workers.observe(event.report, nowMs); break
+      case 'applied': this.#onApplied(event, nowMs); break
+      case 'proposal_rejected': this.#onProposalRejected(event.proposalId, event.outcome === 'not_applied', nowMs); break
+      case 'orders_answered': this.#onOrderOutcomes(outbox.onAnswered(event.orderId, event.results, nowMs), nowMs); break
+      case 'orders_failed': this.#onOrderOutcomes(outbox.onFailed(event.orderId, nowMs), nowMs); break
+      case 'worker_reported': this.#workers.onReport(event.report, nowMs); break
       case 'tick': break
     }
   }
 
   #tick (nowMs: number): void {
-    this.#ordersEnded(this.#context.outbox.tick(nowMs), nowMs)
+    this.#onOrderOutcomes(this.#context.outbox.tick(nowMs), nowMs)
     this.#workers.tick(nowMs)
     this.#gangs.tick(nowMs)
     this.#availability.tick(nowMs)
-    for (const jobId of this.#waitingRetries.takeDue(nowMs)) this.#notPlaced(jobId, nowMs)
-    for (const decision of this.#scheduling.pass(nowMs)) this.#decided(decision, nowMs)
-    if (nowMs < this.#clockAtMs) return
+    for (const jobId of this.#endRetries.takeDue(nowMs)) this.#onPlacementNotApplied(jobId, nowMs)
+    for (const decision of this.#schedulerDriver.runPass(nowMs)) this.#executeDecision(decision, nowMs)
+    if (nowMs < this.#nextClockAtMs) return
     this.#context.proposals.propose({ kind: 'clock' }, { kind: 'clock' }, nowMs)
-    this.#clockAtMs = nowMs + this.#context.settings.clockIntervalMs
+    this.#nextClockAtMs = nowMs + this.#context.settings.clockIntervalMs
   }
 
   #takeEffects (nowMs: number): ControlEffect[] {
@@ -146,11 +146,11 @@
     return this.#effects.splice(0)
   }
 
-  #ordersEnded (outcomes: readonly OrderOutcome[], nowMs: number): void {
-    for (const outcome of outcomes) this.#gangs.orderEnded(outcome, nowMs)
+  #onOrderOutcomes (outcomes: readonly OrderOutcome[], nowMs: number): void {
+    for (const outcome of outcomes) this.#gangs.onOrderOutcome(outcome, nowMs)
   }
 
-  #decided (decision: PlacementDecision, nowMs: number): void {
+  #executeDecision (decision: PlacementDecision, nowMs: number): void {
     const { jobId } = decision
     const { proposals } = this.#context
     switch (decision.kind) {
@@ -164,100 +164,100 @@
       }
       case 'stop': {
         const goal = decision.failure.kind === 'impossible_shape' ? 'refused' : 'failed'
-        const intent = { reason: decision.failure.detail, isCheckpoint: false, goal } as const
-        if (!this.#gangs.requestStop(jobId, intent, false, nowMs)) this.#endWaiting(jobId, goal, intent.reason, nowMs)
+        const request = { reason: decision.failure.detail, isCheckpoint: false, goal } as const
+        if (!this.#gangs.requestStop(jobId, request, false, nowMs)) this.#proposeEnd(jobId, goal, request.reason, nowMs)
         break
       }
     }
   }
 
-  #endWaiting (jobId: string, outcome: 'refused' | 'failed', reason: string, nowMs: number): void {
+  #proposeEnd (jobId: string, outcome: 'refused' | 'failed', reason: string, nowMs: number): void {
     const command: ControlCommand = { kind: 'end_job', jobId, leaseId: 0, outcome, reason }
     this.#context.proposals.propose(command, { kind: 'waiting_job', jobId }, nowMs)
   }
 
-  #applied ({ proposalId, index, command, result }: AppliedEvent, nowMs: number): void {
-    this.#clockAtMs = nowMs + this.#context.settings.clockIntervalMs
+  #onApplied ({ proposalId, index, command, result }: AppliedEvent, nowMs: number): void {
+    this.#nextClockAtMs = nowMs + this.#context.settings.clockIntervalMs
     const proposal = this.#context.proposals.take(proposalId)
-    if (result.kind !== 'refused') this.#takeEffect(command, index, nowMs)
+    if (result.kind !== 'refused') this.#onCommandCommitted(command, index, nowMs)
     if (proposal === undefined) return
-    this.#proposalEnded(proposal, result, nowMs)
+    this.#onProposalApplied(proposal, result, nowMs)
     const isProof = proposal.purpose.kind === 'proof'
-    for (const { requestId, result: lease } of this.#workers.proven(proposal.proposedAtMs, isProof, nowMs)) {
+    for (const { requestId, result: lease } of this.#workers.onCommitted(proposal.proposedAtMs, isProof, nowMs)) {
       this.#operations.reply(requestId, lease)
     }
   }
 
   /** Follows a committed command. Later entries may have been applied already, so the job's present phase counts. */
-  #takeEffect (command: ControlCommand, index: number, nowMs: number): void {
+  #onCommandCommitted (command: ControlCommand, index: number, nowMs: number): void {
     switch (command.kind) {
-      case 'apply_configuration': this.#configurationChanged(command, nowMs); break
-      case 'worker_state': this.#workers.changed(command.workerId, nowMs); break
-      case 'set_drain': if (command.drain.kind === 'worker') this.#workers.changed(command.drain.id, nowMs); break
+      case 'apply_configuration': this.#onConfigurationChanged(command, nowMs); break
+      case 'worker_state': this.#workers.onWorkerChanged(command.workerId, nowMs); break
+      case 'set_drain': if (command.drain.kind === 'worker') this.#workers.onWorkerChanged(command.drain.id, nowMs); break
       case 'submit_job': case 'place_job': case 'start_job': case 'job_running': case 'stop_job': case 'requeue_job':
-      case 'end_job': this.#jobChanged(command, index, nowMs); break
+      case 'end_job': this.#onJobChanged(command, index, nowMs); break
     }
   }
 
-  #jobChanged (command: Extract<ControlCommand, { kind: `${string}job${string}` }>, index: number, nowMs: number): void {
+  #onJobChanged (command: Extract<ControlCommand, { kind: `${string}job${string}` }>, index: number, nowMs: number): void {
     const jobId = command.kind === 'submit_job' ? command.spec.jobId : command.jobId
-    if (command.kind === 'end_job' || command.kind === 'requeue_job') this.#gangs.released(jobId, nowMs)
+    if (command.kind === 'end_job' || command.kind === 'requeue_job') this.#gangs.onReleased(jobId, nowMs)
     const job = this.#context.state.job(jobId)
     if (job === undefined) return
     switch (command.kind) {
-      case 'submit_job': case 'requeue_job': if (job.phase === 'waiting') this.#wait(job, nowMs); break
-      case 'place_job': if (job.leaseId === index) this.#placed(job, nowMs); break
-      case 'start_job': if (job.phase === 'starting') this.#gangs.started(job, nowMs); break
-      case 'stop_job': if (job.phase === 'stopping') this.#gangs.stopping(job, nowMs); break
+      case 'submit_job': case 'requeue_job': if (job.phase === 'waiting') this.#enqueue(job, nowMs); break
+      case 'place_job': if (job.leaseId === index) this.#onPlaced(job, nowMs); break
+      case 'start_job': if (job.phase === 'starting') this.#gangs.onStarted(job, nowMs); break
+      case 'stop_job': if (job.phase === 'stopping') this.#gangs.onStopping(job, nowMs); break
       case 'job_running': case 'end_job': break
     }
   }
 
-  #placed (job: JobRecord, nowMs: number): void {
-    this.#scheduling.placed(job, nowMs)
-    this.#gangs.placed(job, nowMs)
+  #onPlaced (job: JobRecord, nowMs: number): void {
+    this.#schedulerDriver.onPlaced(job, nowMs)
+    this.#gangs.onPlaced(job, nowMs)
   }
 
   /** Lets a job wait; one that the inventory cannot hold any more is ended. */
-  #wait (job: JobRecord, nowMs: number): void {
-    const problem = this.#scheduling.submit(job.spec, nowMs)
-    if (problem !== undefined) this.#endWaiting(job.spec.jobId, 'refused', problem.detail, nowMs)
+  #enqueue (job: JobRecord, nowMs: number): void {
+    const problem = this.#schedulerDriver.submit(job.spec, nowMs)
+    if (problem !== undefined) this.#proposeEnd(job.spec.jobId, 'refused', problem.detail, nowMs)
   }
 
-  #configurationChanged ({ change }: Extract<ControlCommand, { kind: 'apply_configuration' }>, nowMs: number): void {
+  #onConfigurationChanged ({ change }: Extract<ControlCommand, { kind: 'apply_configuration' }>, nowMs: number): void {
     const { scheduler, state, log } = this.#context
     log.info('configuration in force', { version: change.version })
     scheduler.applyConfiguration(state.configuration)
-    this.#scheduling.markChanged()
+    this.#schedulerDriver.requestPass()
     for (const { kind, id } of change.removes) {
-      if (kind === 'worker') this.#workers.removed(id, nowMs)
+      if (kind === 'worker') this.#workers.onWorkerRemoved(id, nowMs)
     }
   }
 
-  #proposalEnded (proposal: Proposal, result: CommandResult, nowMs: number): void {
+  #onProposalApplied (proposal: Proposal, result: CommandResult, nowMs: number): void {
     const { purpose } = proposal
-    const isDone = result.kind !== 'refused'
+    const isApplied = result.kind !== 'refused'
     switch (purpose.kind) {
-      case 'operation': this.#operations.applied(proposal, result, nowMs); break
-      case 'gang': this.#gangs.proposalEnded(purpose.jobId, purpose.leaseId, isDone, nowMs); break
-      case 'placement': if (!isDone) this.#notPlaced(purpose.jobId, nowMs); break
-      case 'worker': this.#workers.proposalEnded(purpose.workerId, isDone, nowMs); break
-      case 'waiting_job': if (!isDone) this.#waitingRetries.set(purpose.jobId, this.#retryAtMs(nowMs)); break
+      case 'operation': this.#operations.onApplied(proposal, result, nowMs); break
+      case 'gang': this.#gangs.onProposalSettled(purpose.jobId, purpose.leaseId, isApplied, nowMs); break
+      case 'placement': if (!isApplied) this.#onPlacementNotApplied(purpose.jobId, nowMs); break
+      case 'worker': this.#workers.onProposalSettled(purpose.workerId, isApplied, nowMs); break
+      case 'waiting_job': if (!isApplied) this.#endRetries.set(purpose.jobId, this.#retryAtMs(nowMs)); break
       case 'proof': case 'clock': break
     }
   }
 
-  #rejected (proposalId: string, isCertain: boolean, nowMs: number): void {
+  #onProposalRejected (proposalId: string, isNotApplied: boolean, nowMs: number): void {
     const proposal = this.#context.proposals.take(proposalId)
     if (proposal === undefined) return
     const { purpose } = proposal
     switch (purpose.kind) {
-      case 'operation': this.#operations.rejected(proposal, isCertain, nowMs); break
-      case 'gang': this.#gangs.proposalEnded(purpose.jobId, purpose.leaseId, false, nowMs); break
-      case 'placement': this.#notPlaced(purpose.jobId, nowMs); break
-      case 'worker': this.#workers.proposalEnded(purpose.workerId, false, nowMs); break
-      case 'waiting_job': this.#waitingRetries.set(purpose.jobId, this.#retryAtMs(nowMs)); break
-      case 'proof': this.#refuseUnproven(); break
+      case 'operation': this.#operations.onRejected(proposal, isNotApplied, nowMs); break
+      case 'gang': this.#gangs.onProposalSettled(purpose.jobId, purpose.leaseId, false, nowMs); break
+      case 'placement': this.#onPlacementNotApplied(purpose.jobId, nowMs); break
+      case 'worker': this.#workers.onProposalSettled(purpose.workerId, false, nowMs); break
+      case 'waiting_job': this.#endRetries.set(purpose.jobId, this.#retryAtMs(nowMs)); break
+      case 'proof': this.#refusePendingReports(); break
       case 'clock': break
     }
   }
@@ -266,19 +266,19 @@
    * Puts a job whose placement did not take effect back among the waiting ones, or at the placement that did: one that
    * was taken for rejected may have been committed after all.
    */
-  #notPlaced (jobId: string, nowMs: number): void {
+  #onPlacementNotApplied (jobId: string, nowMs: number): void {
     const job = this.#context.state.job(jobId)
-    this.#scheduling.left(jobId, false, nowMs)
-    if (job?.phase === 'waiting') this.#wait(job, nowMs)
-    else if (job !== undefined) this.#scheduling.placed(job, nowMs)
+    this.#schedulerDriver.onRemoved(jobId, false, nowMs)
+    if (job?.phase === 'waiting') this.#enqueue(job, nowMs)
+    else if (job !== undefined) this.#schedulerDriver.onPlaced(job, nowMs)
   }
 
   #retryAtMs (nowMs: number): number {
     return nowMs + this.#context.settings.proposalRetryMs
   }
 
-  #refuseUnproven (): void {
-    for (const requestId of this.#workers.takeUnproven()) {
+  #refusePendingReports (): void {
+    for (const requestId of this.#workers.takePendingRequestIds()) {
       const failure = { kind: 'control_unavailable' as const, detail: 'leadership could not be proven' }
       this.#operations.reply(requestId, { ok: false, failure })
     }
--- a/packages/control/src/leadership-proof.ts
+++ b/packages/control/src/leadership-proof.ts
@@ -14,12 +14,12 @@
   }
 
   /** Notes that a proposal made at `proposedAtMs` was committed. */
-  prove (proposedAtMs: number): void {
+  recordCommit (proposedAtMs: number): void {
     this.#provenAtMs = Math.max(this.#provenAtMs, proposedAtMs)
   }
 
   /** Says whether a report received at `receivedAtMs` may be granted a lease at `nowMs`. */
-  covers (receivedAtMs: number, nowMs: number): boolean {
+  isValid (receivedAtMs: number, nowMs: number): boolean {
     return this.#provenAtMs >= receivedAtMs || nowMs <= this.#provenAtMs + this.#validMs
   }
 }
--- a/packages/control/src/operation-service.ts
+++ b/packages/control/src/operation-service.ts
@@ -6,14 +6,14 @@
 import type { ControlAnswer, ControlOperation, ControlResult, WorkerView } from './operations.js'
 import type { ControlEffect } from './orders.js'
 import type { LeaderContext } from './leader-context.js'
-import type { Proposal, WriteOperation } from './proposals.js'
-import type { Scheduling } from './scheduling.js'
+import type { Proposal, WriteOperation } from './pending-proposals.js'
+import type { SchedulerDriver } from './scheduler-driver.js'
 import type { WorkerService } from './worker-service.js'
 
 type OperationOf<Kind extends ControlOperation['kind']> = Extract<ControlOperation, { kind: Kind }>
 
 /** What an operation leads to at once: an answer, a command to commit, or an answer that comes later. */
-type Step =
+type OperationDecision =
   | { readonly kind: 'answer', readonly answer: ControlAnswer }
   | { readonly kind: 'refuse', readonly failure: Failure }
   | { readonly kind: 'propose', readonly command: ControlCommand }
@@ -25,26 +25,31 @@
 /** Answers operations under this leader. */
 export class OperationService {
   readonly #context: LeaderContext
-  readonly #scheduling: Scheduling
+  readonly #schedulerDriver: SchedulerDriver
   readonly #workers: WorkerService
   readonly #effects: ControlEffect[]
 
-  constructor (context: LeaderContext, scheduling: Scheduling, workers: WorkerService, effects: ControlEffect[]) {
+  constructor (
+    context: LeaderContext,
+    schedulerDriver: SchedulerDriver,
+    workers: WorkerService,
+    effects: ControlEffect[]
+  ) {
     this.#context = context
-    this.#scheduling = scheduling
+    this.#schedulerDriver = schedulerDriver
     this.#workers = workers
     this.#effects = effects
   }
 
   /** Answers an operation, or proposes its command. */
   handle (requestId: string, operation: ControlOperation, nowMs: number, attempt = 1): void {
-    const step = this.#decide(requestId, operation, nowMs)
-    switch (step.kind) {
-      case 'answer': this.reply(requestId, succeed(step.answer)); break
-      case 'refuse': this.reply(requestId, { ok: false, failure: step.failure }); break
+    const decision = this.#decide(requestId, operation, nowMs)
+    switch (decision.kind) {
+      case 'answer': this.reply(requestId, succeed(decision.answer)); break
+      case 'refuse': this.reply(requestId, { ok: false, failure: decision.failure }); break
       case 'propose': {
         const purpose = { kind: 'operation' as const, requestId, operation: operation as WriteOperation, attempt }
-        this.#context.proposals.propose(step.command, purpose, nowMs)
+        this.#context.proposals.propose(decision.command, purpose, nowMs)
         break
       }
       case 'later': break
@@ -52,25 +57,25 @@
   }
 
   /** Answers an operation whose command was applied. */
-  applied ({ purpose, command }: Proposal, result: CommandResult, nowMs: number): void {
+  onApplied ({ purpose, command }: Proposal, result: CommandResult, nowMs: number): void {
     if (purpose.kind !== 'operation') return
     const { requestId, operation, attempt } = purpose
     if (result.kind === 'refused') {
-      if (command.kind === 'submit_job') this.#forgetUnsubmitted(command.spec, nowMs)
-      const isOvertaken = result.failure.kind === 'stale_term' && operation.kind === 'cancel_job'
-      if (!isOvertaken) this.reply(requestId, { ok: false, failure: result.failure })
+      if (command.kind === 'submit_job') this.#withdrawUnsubmitted(command.spec, nowMs)
+      const hasJobChanged = result.failure.kind === 'stale_term' && operation.kind === 'cancel_job'
+      if (!hasJobChanged) this.reply(requestId, { ok: false, failure: result.failure })
       else if (attempt < MAX_ATTEMPTS) this.handle(requestId, operation, nowMs, attempt + 1)
       else this.reply(requestId, fail('control_unavailable', `the job changed during ${attempt} attempts to cancel it`))
       return
     }
-    this.reply(requestId, succeed(this.#answerOf(operation, result)))
+    this.reply(requestId, succeed(this.#answerApplied(operation, result)))
   }
 
   /** Answers an operation whose command was rejected; without certainty it may still take effect. */
-  rejected ({ purpose, command }: Proposal, isCertain: boolean, nowMs: number): void {
+  onRejected ({ purpose, command }: Proposal, isNotApplied: boolean, nowMs: number): void {
     if (purpose.kind !== 'operation') return
-    if (command.kind === 'submit_job') this.#forgetUnsubmitted(command.spec, nowMs)
-    const cause = isCertain
+    if (command.kind === 'submit_job') this.#withdrawUnsubmitted(command.spec, nowMs)
+    const cause = isNotApplied
       ? failure('control_unavailable', 'leadership changed before the change was taken')
       : failure('outcome_unknown', 'leadership changed before the change was known to be committed')
     this.reply(purpose.requestId, { ok: false, failure: cause })
@@ -82,15 +87,15 @@
     this.#effects.push({ kind: 'reply', requestId, result })
   }
 
-  #decide (requestId: string, operation: ControlOperation, nowMs: number): Step {
+  #decide (requestId: string, operation: ControlOperation, nowMs: number): OperationDecision {
     switch (operation.kind) {
       case 'submit_job': return this.#submit(operation.spec, nowMs)
       case 'cancel_job': return this.#cancel(operation.jobId)
       case 'get_job': return this.#getJob(operation.jobId)
       case 'list_jobs': return this.#listJobs(operation)
       case 'explain_job': return this.#explain(operation.jobId, nowMs)
-      case 'report_worker': return this.#report(requestId, operation, nowMs)
-      case 'leave_worker': return this.#leave(operation.workerId)
+      case 'report_worker': return this.#reportWorker(requestId, operation, nowMs)
+      case 'leave_worker': return this.#leaveWorker(operation.workerId)
       case 'apply_change': return this.#applyChange(operation)
       case 'get_configuration': return answer(this.#configuration())
       case 'get_configuration_status': return answer(this.#configurationStatus())
@@ -104,7 +109,7 @@
   }
 
   /** A shape that no inventory could hold is refused here, so that it never enters the log. */
-  #submit (spec: JobSpec, nowMs: number): Step {
+  #submit (spec: JobSpec, nowMs: number): OperationDecision {
     const existing = this.#context.state.job(spec.jobId)
     if (existing !== undefined) {
       return isSameSpec(existing.spec, spec)
@@ -114,15 +119,15 @@
     if (!this.#context.state.configuration.organisations.has(spec.organisationId)) {
       return refuse(failure('unknown_organisation', `organisation ${spec.organisationId} is not in the inventory`))
     }
-    const problem = this.#scheduling.submit(spec, nowMs)
+    const problem = this.#schedulerDriver.submit(spec, nowMs)
     return problem === undefined ? propose({ kind: 'submit_job', spec }) : refuse(problem)
   }
 
-  #cancel (jobId: string): Step {
+  #cancel (jobId: string): OperationDecision {
     const job = this.#context.state.job(jobId)
     if (job === undefined) return refuse(failure('not_found', `job ${jobId} does not exist`))
-    const isLeaving = job.phase === 'stopping' && job.stop?.then !== 'requeue'
-    if (job.phase === 'ended' || isLeaving) return answer({ kind: 'job', job: toJobView(job) })
+    const isEnding = job.phase === 'stopping' && job.stop?.then !== 'requeue'
+    if (job.phase === 'ended' || isEnding) return answer({ kind: 'job', job: toJobView(job) })
     const { leaseId } = job
     const reason = 'cancelled by the caller'
     return job.phase === 'waiting'
@@ -130,14 +135,14 @@
       : propose({ kind: 'stop_job', jobId, leaseId, reason, isCheckpoint: false, then: 'cancelled' })
   }
 
-  #getJob (jobId: string): Step {
+  #getJob (jobId: string): OperationDecision {
     const job = this.#context.state.job(jobId)
     return job === undefined
       ? refuse(failure('not_found', `job ${jobId} does not exist`))
       : answer({ kind: 'job', job: toJobView(job) })
   }
 
-  #listJobs ({ phase, organisationId, limit }: OperationOf<'list_jobs'>): Step {
+  #listJobs ({ phase, organisationId, limit }: OperationOf<'list_jobs'>): OperationDecision {
     const jobs: JobRecord[] = []
     let total = 0
     for (const job of this.#jobsIn(phase)) {
@@ -160,21 +165,21 @@
     }
   }
 
-  #explain (jobId: string, nowMs: number): Step {
+  #explain (jobId: string, nowMs: number): OperationDecision {
     const job = this.#context.state.job(jobId)
     if (job === undefined) return refuse(failure('not_found', `job ${jobId} does not exist`))
-    const explanation = job.phase === 'ended' ? explainEnded(job) : this.#context.scheduler.explain(jobId, nowMs)
+    const explanation = job.phase === 'ended' ? explainEndedJob(job) : this.#context.scheduler.explain(jobId, nowMs)
     return answer({ kind: 'explanation', explanation })
   }
 
-  #report (requestId: string, { report }: OperationOf<'report_worker'>, nowMs: number): Step {
-    const problem = this.#workers.observe(report, nowMs)
+  #reportWorker (requestId: string, { report }: OperationOf<'report_worker'>, nowMs: number): OperationDecision {
+    const problem = this.#workers.onReport(report, nowMs)
     if (problem !== undefined) return refuse(problem)
-    const lease = this.#workers.answer(requestId, report, nowMs)
+    const lease = this.#workers.answerReport(requestId, report, nowMs)
     return lease === undefined ? { kind: 'later' } : answer(lease)
   }
 
-  #leave (workerId: string): Step {
+  #leaveWorker (workerId: string): OperationDecision {
     const worker = this.#context.state.worker(workerId)
     if (worker === undefined) return refuse(failure('not_found', `worker ${workerId} is not known`))
     return worker.state === 'draining'
@@ -182,7 +187,7 @@
       : propose({ kind: 'worker_state', ...worker, state: 'draining' })
   }
 
-  #applyChange ({ change, isDryRun }: OperationOf<'apply_change'>): Step {
+  #applyChange ({ change, isDryRun }: OperationOf<'apply_change'>): OperationDecision {
     const checked = this.#context.state.checkChange(change)
     if (checked.kind === 'refused') return refuse(checked.failure)
     if (isDryRun || checked.kind === 'repeated') {
@@ -220,7 +225,7 @@
     return quarantined.has(workerId) ? 'quarantined' : 'active'
   }
 
-  #claim (operation: OperationOf<'claim_request'>): Step {
+  #claim (operation: OperationOf<'claim_request'>): OperationDecision {
     const { organisationId, key, digest, claimantId } = operation
     const { state } = this.#context
     const claim = state.claimView(organisationId, key)
@@ -235,13 +240,13 @@
       : refuse(failure('key_reused', `idempotency key ${key} was used for a request with other content`))
   }
 
-  #getClaim ({ organisationId, key }: OperationOf<'get_claim'>): Step {
+  #getClaim ({ organisationId, key }: OperationOf<'get_claim'>): OperationDecision {
     const claim = this.#context.state.claimView(organisationId, key)
     if (claim !== undefined) return answer({ kind: 'claim', granted: false, claim })
     return refuse(this.#context.state.checkKey(key) ?? failure('not_found', `claim ${key} does not exist`))
   }
 
-  #answerOf (operation: WriteOperation, result: CommandResult): ControlAnswer {
+  #answerApplied (operation: WriteOperation, result: CommandResult): ControlAnswer {
     switch (operation.kind) {
       case 'submit_job': return this.#jobAnswer(operation.spec.jobId)
       case 'cancel_job': return this.#jobAnswer(operation.jobId)
@@ -259,24 +264,24 @@
     return job === undefined ? { kind: 'done' } : { kind: 'job', job: toJobView(job) }
   }
 
-  #forgetUnsubmitted ({ jobId }: JobSpec, nowMs: number): void {
-    if (this.#context.state.job(jobId) === undefined) this.#scheduling.left(jobId, false, nowMs)
+  #withdrawUnsubmitted ({ jobId }: JobSpec, nowMs: number): void {
+    if (this.#context.state.job(jobId) === undefined) this.#schedulerDriver.onRemoved(jobId, false, nowMs)
   }
 }
 
-function answer (value: ControlAnswer): Step {
+function answer (value: ControlAnswer): OperationDecision {
   return { kind: 'answer', answer: value }
 }
 
-function refuse (cause: Failure): Step {
+function refuse (cause: Failure): OperationDecision {
   return { kind: 'refuse', failure: cause }
 }
 
-function propose (command: ControlCommand): Step {
+function propose (command: ControlCommand): OperationDecision {
   return { kind: 'propose', command }
 }
 
-function explainEnded ({ spec, outcome, detail }: JobRecord): JobExplanation {
+function explainEndedJob ({ spec, outcome, detail }: JobRecord): JobExplanation {
   return {
     jobId: spec.jobId,
     state: outcome === 'refused' ? 'refused' : 'unknown',
--- a/packages/control/src/proposals.ts
+++ b/packages/control/src/pending-proposals.ts
@@ -28,10 +28,10 @@
 }
 
 /** Numbers and remembers proposals of one term. */
-export class Proposals {
+export class PendingProposals {
   readonly #term: number
   readonly #effects: ControlEffect[]
-  readonly #inFlight = new Map<string, Proposal>()
+  readonly #proposals = new Map<string, Proposal>()
   #count = 0
 
   constructor (term: number, effects: ControlEffect[]) {
@@ -40,27 +40,27 @@
   }
 
   get size (): number {
-    return this.#inFlight.size
+    return this.#proposals.size
   }
 
   propose (command: ControlCommand, purpose: ProposalPurpose, nowMs: number): void {
     this.#count += 1
     const proposalId = `${this.#term}-${this.#count}`
-    this.#inFlight.set(proposalId, { proposalId, command, purpose, proposedAtMs: nowMs })
+    this.#proposals.set(proposalId, { proposalId, command, purpose, proposedAtMs: nowMs })
     this.#effects.push({ kind: 'propose', proposalId, command })
   }
 
   /** Removes and gives a proposal of this leader; undefined for one of another leader, or one answered before. */
   take (proposalId: string): Proposal | undefined {
-    const proposal = this.#inFlight.get(proposalId)
-    this.#inFlight.delete(proposalId)
+    const proposal = this.#proposals.get(proposalId)
+    this.#proposals.delete(proposalId)
     return proposal
   }
 
   /** Removes and gives all proposals. */
   takeAll (): Proposal[] {
-    const all = [...this.#inFlight.values()]
-    this.#inFlight.clear()
-    return all
+    const proposals = [...this.#proposals.values()]
+    this.#proposals.clear()
+    return proposals
   }
 }
--- a/packages/control/src/scheduling.ts
+++ b/packages/control/src/scheduler-driver.ts
@@ -4,13 +4,13 @@
 import type { JobRecord } from './jobs.js'
 import type { LeaderContext } from './leader-context.js'
 
-type ScheduledAs = 'waiting' | 'placed'
+type SchedulerPhase = 'waiting' | 'placed'
 
 /** The scheduler with what it was told, so that nothing is told twice. */
-export class Scheduling {
+export class SchedulerDriver {
   readonly #context: LeaderContext
-  readonly #scheduledAs = new Map<string, ScheduledAs>()
-  #isDirty = true
+  readonly #phases = new Map<string, SchedulerPhase>()
+  #isPassRequested = true
   #lastPassMs = Number.NEGATIVE_INFINITY
 
   constructor (context: LeaderContext) {
@@ -18,68 +18,68 @@
   }
 
   /** Asks for a pass because something changed. */
-  markChanged (): void {
-    this.#isDirty = true
+  requestPass (): void {
+    this.#isPassRequested = true
   }
 
   /** Says whether the scheduler has placed a job, committed or not. */
   isPlaced (jobId: string): boolean {
-    return this.#scheduledAs.get(jobId) === 'placed'
+    return this.#phases.get(jobId) === 'placed'
   }
 
   /** Lets a job wait for a placement. */
   submit (spec: JobSpec, nowMs: number): Failure | undefined {
-    if (this.#scheduledAs.has(spec.jobId)) return undefined
+    if (this.#phases.has(spec.jobId)) return undefined
     const problem = this.#context.scheduler.submit(spec, nowMs)
     if (problem !== undefined) return problem
-    this.#scheduledAs.set(spec.jobId, 'waiting')
-    this.markChanged()
+    this.#phases.set(spec.jobId, 'waiting')
+    this.requestPass()
     return undefined
   }
 
   /** Takes in that a placement was committed; one that the scheduler did not decide in this term is restored. */
-  placed (job: JobRecord, nowMs: number): void {
+  onPlaced (job: JobRecord, nowMs: number): void {
     const { jobId } = job.spec
-    if (this.#scheduledAs.get(jobId) === 'placed' || job.placement === null) return
+    if (this.#phases.get(jobId) === 'placed' || job.placement === null) return
     const { scheduler, state } = this.#context
-    if (this.#scheduledAs.has(jobId)) scheduler.cancel(jobId, nowMs)
+    if (this.#phases.has(jobId)) scheduler.cancel(jobId, nowMs)
     const ageMs = Math.max(0, state.logTimeMs - job.changedLogMs)
     scheduler.restore(job.spec, job.placement, nowMs - ageMs)
-    this.#scheduledAs.set(jobId, 'placed')
-    this.markChanged()
+    this.#phases.set(jobId, 'placed')
+    this.requestPass()
   }
 
   /** Takes in that a job left the scheduler: it ended, or its cells are released. */
-  left (jobId: string, isReclaimed: boolean, nowMs: number): void {
-    const scheduledAs = this.#scheduledAs.get(jobId)
-    if (scheduledAs === undefined) return
-    this.#scheduledAs.delete(jobId)
+  onRemoved (jobId: string, isReclaimed: boolean, nowMs: number): void {
+    const phase = this.#phases.get(jobId)
+    if (phase === undefined) return
+    this.#phases.delete(jobId)
     const { scheduler } = this.#context
     const outcome = this.#context.state.job(jobId)?.outcome ?? null
     // A run that was cut short must not be taken for the run time of its class.
-    const isCutShort = outcome !== null && outcome !== 'completed'
-    if (scheduledAs === 'waiting' || isCutShort) scheduler.cancel(jobId, nowMs)
-    if (scheduledAs === 'waiting') return this.markChanged()
+    const hasEndedEarly = outcome !== null && outcome !== 'completed'
+    if (phase === 'waiting' || hasEndedEarly) scheduler.cancel(jobId, nowMs)
+    if (phase === 'waiting') return this.requestPass()
     if (isReclaimed) scheduler.reclaimed(jobId, nowMs)
     else scheduler.ended(jobId, nowMs)
-    this.markChanged()
+    this.requestPass()
   }
 
   /** Runs a pass when something changed, or when jobs wait and time alone may have changed the result. */
-  pass (nowMs: number): PlacementDecision[] {
-    if (nowMs < this.nextAtMs()) return []
-    this.#isDirty = false
+  runPass (nowMs: number): PlacementDecision[] {
+    if (nowMs < this.nextWakeAtMs()) return []
+    this.#isPassRequested = false
     this.#lastPassMs = nowMs
     const decisions = this.#context.scheduler.pass(nowMs)
     for (const decision of decisions) {
-      if (decision.kind === 'place') this.#scheduledAs.set(decision.jobId, 'placed')
+      if (decision.kind === 'place') this.#phases.set(decision.jobId, 'placed')
     }
     return decisions
   }
 
-  nextAtMs (): number {
+  nextWakeAtMs (): number {
     const { settings, state } = this.#context
-    if (this.#isDirty) return this.#lastPassMs + settings.minPassIntervalMs
+    if (this.#isPassRequested) return this.#lastPassMs + settings.minPassIntervalMs
     return state.jobIdsInPhase('waiting').size > 0
       ? this.#lastPassMs + settings.idlePassIntervalMs
       : Number.POSITIVE_INFINITY
--- a/packages/control/src/state.ts
+++ b/packages/control/src/state.ts
@@ -6,10 +6,10 @@
 import { ConfigurationHistory, type ChangeCheck, type ConfigurationSnapshot } from './configuration-history.js'
 import { DrainSet } from './drains.js'
 import { JobTable, type JobRecord, type LogPosition } from './jobs.js'
-import { done, refuse } from './refusals.js'
+import { done, refuse } from './command-results.js'
 import { WorkerTable, type WorkerRecord } from './workers.js'
 import type { CommandResult, ControlCommand } from './commands.js'
-import type { HeldCell } from './held-cells.js'
+import type { CellAllocation } from './cell-allocations.js'
 import type { ClaimView, Drain, DrainKind } from './operations.js'
 import type { GuaranteeValidator } from './ports.js'
 import type { ControlStateSettings } from './settings.js'
@@ -43,7 +43,7 @@
  * state.apply({ kind: 'submit_job', spec }, 1, 1_000) // { kind: 'done' }
  */
 export class ControlState {
-  readonly #history: ConfigurationHistory
+  readonly #configurationHistory: ConfigurationHistory
   readonly #jobs: JobTable
   readonly #claims: ClaimTable
   readonly #workers = new WorkerTable()
@@ -52,7 +52,7 @@
   #logTimeMs = 0
 
   constructor ({ settings, validator }: ControlStateOptions) {
-    this.#history = new ConfigurationHistory(settings, validator)
+    this.#configurationHistory = new ConfigurationHistory(settings, validator)
     this.#jobs = new JobTable(settings)
     this.#claims = new ClaimTable(settings)
     this.#drains = new DrainSet(settings.maxDrains)
@@ -68,7 +68,7 @@
     const state = new ControlState(options)
     state.#lastIndex = snapshot.lastIndex
     state.#logTimeMs = snapshot.logTimeMs
-    state.#history.restore(snapshot.configuration)
+    state.#configurationHistory.restore(snapshot.configuration)
     state.#jobs.restore(snapshot.jobs)
     state.#claims.restore(snapshot.claims)
     state.#workers.restore(snapshot.workers)
@@ -81,9 +81,9 @@
     if (index <= this.#lastIndex) throw new RangeError(`entry ${index} is applied after entry ${this.#lastIndex}`)
     this.#lastIndex = index
     this.#logTimeMs = Math.max(this.#logTimeMs, logTimeMs)
-    this.#claims.forget(this.#logTimeMs)
+    this.#claims.removeExpired(this.#logTimeMs)
     const result = this.#apply(command, { index, logTimeMs: this.#logTimeMs })
-    this.#jobs.forget(this.#logTimeMs)
+    this.#jobs.removeExpired(this.#logTimeMs)
     return result
   }
 
@@ -93,7 +93,7 @@
       formatVersion: 1,
       lastIndex: this.#lastIndex,
       logTimeMs: this.#logTimeMs,
-      configuration: this.#history.snapshot(),
+      configuration: this.#configurationHistory.snapshot(),
       jobs: [...this.#jobs.records()],
       claims: this.#claims.records(),
       workers: [...this.#workers.records()],
@@ -111,7 +111,7 @@
 
   /** Inventory and rules in force. */
   get configuration (): Configuration {
-    return this.#history.current
+    return this.#configurationHistory.current
   }
 
   /** Inventory and rules as the document that operators edit. */
@@ -121,12 +121,12 @@
 
   /** Changes after `version`; undefined when a full copy is needed. */
   changesSince (version: number): ConfigurationChange[] | undefined {
-    return this.#history.changesSince(version)
+    return this.#configurationHistory.changesSince(version)
   }
 
   /** Finds out what a change would do, without applying it. */
   checkChange (change: ConfigurationChange): ChangeCheck {
-    return this.#history.check(change)
+    return this.#configurationHistory.check(change)
   }
 
   job (jobId: string): JobRecord | undefined {
@@ -171,8 +171,8 @@
   }
 
   /** Cells held on a worker by placed jobs. */
-  cellsOn (workerId: string): readonly HeldCell[] {
-    return this.#jobs.cells.on(workerId)
+  cellsOn (workerId: string): readonly CellAllocation[] {
+    return this.#jobs.allocations.onWorker(workerId)
   }
 
   drains (): Drain[] {
@@ -189,11 +189,11 @@
       case 'submit_job': return this.#submit(command, at)
       case 'place_job': return this.#place(command, at)
       case 'start_job': return this.#jobs.start(command, at)
-      case 'job_running': return this.#jobs.running(command, at)
+      case 'job_running': return this.#jobs.markRunning(command, at)
       case 'stop_job': return this.#jobs.stop(command, at)
-      case 'requeue_job': return this.#released(command.jobId, () => this.#jobs.requeue(command, at))
-      case 'end_job': return this.#released(command.jobId, () => this.#jobs.end(command, at))
-      case 'worker_state': return this.#changeWorker(command)
+      case 'requeue_job': return this.#applyRelease(command.jobId, () => this.#jobs.requeue(command, at))
+      case 'end_job': return this.#applyRelease(command.jobId, () => this.#jobs.end(command, at))
+      case 'worker_state': return this.#setWorkerState(command)
       case 'set_drain': return this.#setDrain(command)
       case 'claim_request': return this.#claim(command, at)
       case 'settle_claim': return this.#claims.settle(command, at.index)
@@ -202,11 +202,11 @@
   }
 
   #applyConfiguration (change: ConfigurationChange): CommandResult {
-    const result = this.#history.apply(change)
+    const result = this.#configurationHistory.apply(change)
     if (!result.ok) return { kind: 'refused', failure: result.failure }
     if (result.value === 'repeated') return done
     for (const { kind, id } of change.removes) {
-      if (kind === 'worker') this.#forgetRemovedWorker(id)
+      if (kind === 'worker') this.#deleteRemovedWorker(id)
     }
     return done
   }
@@ -214,7 +214,7 @@
   #submit ({ spec }: Extract<ControlCommand, { kind: 'submit_job' }>, at: LogPosition): CommandResult {
     const { organisations, rules } = this.configuration
     const isKnown = this.#jobs.get(spec.jobId) !== undefined
-    if (!isKnown && !organisations.has(spec.organisationId)) return refuseOrganisation(spec.organisationId)
+    if (!isKnown && !organisations.has(spec.organisationId)) return refuseUnknownOrganisation(spec.organisationId)
     if (!isKnown && (spec.tasks < 1 || spec.tasks > rules.maxGangTasks)) {
       return refuse('impossible_shape', `the gang has ${spec.tasks} tasks, 1 to ${rules.maxGangTasks} are allowed`)
     }
@@ -222,11 +222,11 @@
   }
 
   #place (command: Extract<ControlCommand, { kind: 'place_job' }>, at: LogPosition): CommandResult {
-    const problem = this.#findWorkerProblem(command.placement)
+    const problem = this.#findWorkerError(command.placement)
     return problem === undefined ? this.#jobs.place(command, at) : refuse('invalid_request', problem)
   }
 
-  #findWorkerProblem ({ tasks }: Placement): string | undefined {
+  #findWorkerError ({ tasks }: Placement): string | undefined {
     for (const { workerId, firstAccelerator, acceleratorCount } of tasks) {
       const worker = this.configuration.workers.get(workerId)
       if (worker === undefined) return `worker ${workerId} is not in the inventory`
@@ -240,7 +240,7 @@
     return undefined
   }
 
-  #changeWorker (command: Extract<ControlCommand, { kind: 'worker_state' }>): CommandResult {
+  #setWorkerState (command: Extract<ControlCommand, { kind: 'worker_state' }>): CommandResult {
     const { workerId } = command
     const isListed = this.configuration.workers.has(workerId) || this.#workers.get(workerId) !== undefined
     return isListed ? this.#workers.apply(command) : refuse('not_found', `worker ${workerId} is not in the inventory`)
@@ -257,27 +257,27 @@
     const isKnown = this.#claims.get(command.organisationId, command.key) !== undefined
     return isKnown || this.configuration.organisations.has(command.organisationId)
       ? this.#claims.claim(command, at.logTimeMs, this.configuration.rules.maxDeadlineMs)
-      : refuseOrganisation(command.organisationId)
+      : refuseUnknownOrganisation(command.organisationId)
   }
 
   /** Runs a command that may release a job's cells, and forgets removed workers that held only these. */
-  #released (jobId: string, apply: () => CommandResult): CommandResult {
+  #applyRelease (jobId: string, apply: () => CommandResult): CommandResult {
     const tasks = this.#jobs.get(jobId)?.placement?.tasks ?? []
     const result = apply()
     for (const { workerId } of tasks) {
-      if (!this.configuration.workers.has(workerId)) this.#forgetRemovedWorker(workerId)
+      if (!this.configuration.workers.has(workerId)) this.#deleteRemovedWorker(workerId)
     }
     return result
   }
 
-  #forgetRemovedWorker (workerId: string): void {
-    if (this.#jobs.cells.on(workerId).length > 0) return
+  #deleteRemovedWorker (workerId: string): void {
+    if (this.#jobs.allocations.onWorker(workerId).length > 0) return
     if (this.configuration.workers.has(workerId)) return
     this.#workers.remove(workerId)
     this.#drains.set({ kind: 'worker', id: workerId }, false)
   }
 }
 
-function refuseOrganisation (organisationId: string): CommandResult {
+function refuseUnknownOrganisation (organisationId: string): CommandResult {
   return refuse('unknown_organisation', `organisation ${organisationId} is not in the inventory`)
 }
--- a/packages/control/src/worker-availability.ts
+++ b/packages/control/src/worker-availability.ts
@@ -1,31 +1,31 @@
 /** Which workers the scheduler may place on. */
 import { DeadlineQueue } from './deadline-queue.js'
 import type { LeaderContext } from './leader-context.js'
-import type { Scheduling } from './scheduling.js'
+import type { SchedulerDriver } from './scheduler-driver.js'
 
-type Availability = 'available' | 'draining' | 'lost'
+type SchedulerAvailability = 'available' | 'draining' | 'lost'
 
 /** Tells the scheduler of each change of a worker once. */
 export class WorkerAvailability {
   readonly #context: LeaderContext
-  readonly #scheduling: Scheduling
-  readonly #told = new Map<string, Availability>()
+  readonly #schedulerDriver: SchedulerDriver
+  readonly #reported = new Map<string, SchedulerAvailability>()
   readonly #exclusions = new DeadlineQueue()
   readonly #exclusionCounts = new Map<string, number>()
 
-  constructor (context: LeaderContext, scheduling: Scheduling) {
+  constructor (context: LeaderContext, schedulerDriver: SchedulerDriver) {
     this.#context = context
-    this.#scheduling = scheduling
+    this.#schedulerDriver = schedulerDriver
   }
 
   /** Compares a worker with what the scheduler was told, and tells it the difference. */
   refresh (workerId: string, nowMs: number): void {
-    const availability = this.#judge(workerId)
-    if ((this.#told.get(workerId) ?? 'lost') === availability) return
-    if (availability === 'lost') this.#told.delete(workerId)
-    else this.#told.set(workerId, availability)
-    this.#tell(workerId, availability, nowMs)
-    this.#scheduling.markChanged()
+    const availability = this.#availabilityOf(workerId)
+    if ((this.#reported.get(workerId) ?? 'lost') === availability) return
+    if (availability === 'lost') this.#reported.delete(workerId)
+    else this.#reported.set(workerId, availability)
+    this.#notifyScheduler(workerId, availability, nowMs)
+    this.#schedulerDriver.requestPass()
   }
 
   /**
@@ -43,7 +43,7 @@
   }
 
   /** Takes in that a worker started a task, which ends the doubling. */
-  worked (workerId: string): void {
+  resetExclusionBackoff (workerId: string): void {
     this.#exclusionCounts.delete(workerId)
   }
 
@@ -51,20 +51,20 @@
     for (const workerId of this.#exclusions.takeDue(nowMs)) this.refresh(workerId, nowMs)
   }
 
-  nextAtMs (): number | undefined {
-    return this.#exclusions.nextAtMs()
+  nextWakeAtMs (): number | undefined {
+    return this.#exclusions.nextWakeAtMs()
   }
 
-  #judge (workerId: string): Availability {
+  #availabilityOf (workerId: string): SchedulerAvailability {
     const { state, leases } = this.#context
     const record = state.worker(workerId)
     if (record === undefined || record.state === 'lost' || leases.get(workerId)?.hasLease !== true) return 'lost'
     if (!state.configuration.workers.has(workerId)) return 'lost'
-    const isClosed = record.state !== 'active' || state.isDrained('worker', workerId)
-    return isClosed || this.#exclusions.get(workerId) !== undefined ? 'draining' : 'available'
+    const isDraining = record.state !== 'active' || state.isDrained('worker', workerId)
+    return isDraining || this.#exclusions.get(workerId) !== undefined ? 'draining' : 'available'
   }
 
-  #tell (workerId: string, availability: Availability, nowMs: number): void {
+  #notifyScheduler (workerId: string, availability: SchedulerAvailability, nowMs: number): void {
     const { scheduler } = this.#context
     switch (availability) {
       case 'available': scheduler.workerJoined(workerId, nowMs); break
--- a/packages/control/src/worker-leases.ts
+++ b/packages/control/src/worker-leases.ts
@@ -5,7 +5,7 @@
 import type { WorkerRecord } from './workers.js'
 
 /** A worker in the memory of the leader. */
-export interface WorkerContact {
+export interface WorkerSession {
   readonly workerId: string
   readonly incarnation: number
   readonly sequence: number
@@ -15,63 +15,63 @@
 }
 
 /** How a report relates to what was known: an old one is from before the last report or an earlier process. */
-export type ReportAge = 'first' | 'next' | 'old_sequence' | 'new_incarnation' | 'old_incarnation'
+export type ReportFreshness = 'first' | 'next' | 'old_sequence' | 'new_incarnation' | 'old_incarnation'
 
 /** Leases of workers under one leader. */
 export class WorkerLeases {
-  readonly #waitMs: number
-  readonly #contacts = new Map<string, WorkerContact>()
-  readonly #ends = new DeadlineQueue()
+  readonly #expiryMs: number
+  readonly #sessions = new Map<string, WorkerSession>()
+  readonly #expiries = new DeadlineQueue()
 
   constructor (settings: ControlSettings) {
-    this.#waitMs = settings.leaseMs * (1 + settings.clockRateBound)
+    this.#expiryMs = settings.leaseMs * (1 + settings.clockRateBound)
   }
 
   /** Takes over a worker of the replicated state; another leader may have renewed its lease until `nowMs`. */
   adopt ({ workerId, incarnation, address, state }: WorkerRecord, nowMs: number): void {
     const hasLease = state !== 'lost'
-    this.#contacts.set(workerId, { workerId, incarnation, sequence: -1, address, hasLease })
-    if (hasLease) this.#ends.set(workerId, nowMs + this.#waitMs)
+    this.#sessions.set(workerId, { workerId, incarnation, sequence: -1, address, hasLease })
+    if (hasLease) this.#expiries.set(workerId, nowMs + this.#expiryMs)
   }
 
-  get (workerId: string): WorkerContact | undefined {
-    return this.#contacts.get(workerId)
+  get (workerId: string): WorkerSession | undefined {
+    return this.#sessions.get(workerId)
   }
 
   /** Takes in a report. The lease counts as renewed even if the answer is never sent, which only delays its end. */
-  report ({ workerId, incarnation, sequence, address }: WorkerReport, nowMs: number): ReportAge {
-    const age = reportAge(this.#contacts.get(workerId), incarnation, sequence)
-    if (age === 'old_incarnation') return age
-    this.#ends.set(workerId, nowMs + this.#waitMs)
-    if (age === 'old_sequence') return age
-    this.#contacts.set(workerId, { workerId, incarnation, sequence, address, hasLease: true })
-    return age
+  renew ({ workerId, incarnation, sequence, address }: WorkerReport, nowMs: number): ReportFreshness {
+    const freshness = reportFreshness(this.#sessions.get(workerId), incarnation, sequence)
+    if (freshness === 'old_incarnation') return freshness
+    this.#expiries.set(workerId, nowMs + this.#expiryMs)
+    if (freshness === 'old_sequence') return freshness
+    this.#sessions.set(workerId, { workerId, incarnation, sequence, address, hasLease: true })
+    return freshness
   }
 
-  forget (workerId: string): void {
-    this.#contacts.delete(workerId)
-    this.#ends.delete(workerId)
+  remove (workerId: string): void {
+    this.#sessions.delete(workerId)
+    this.#expiries.delete(workerId)
   }
 
   /** Ends and gives the leases that no worker can hold any more. */
-  takeEnded (nowMs: number): WorkerContact[] {
-    const ended: WorkerContact[] = []
-    for (const workerId of this.#ends.takeDue(nowMs)) {
-      const contact = this.#contacts.get(workerId)
-      if (contact === undefined) continue
-      const lost = { ...contact, hasLease: false }
-      this.#contacts.set(workerId, lost)
-      ended.push(lost)
+  takeExpired (nowMs: number): WorkerSession[] {
+    const expired: WorkerSession[] = []
+    for (const workerId of this.#expiries.takeDue(nowMs)) {
+      const session = this.#sessions.get(workerId)
+      if (session === undefined) continue
+      const expiredSession = { ...session, hasLease: false }
+      this.#sessions.set(workerId, expiredSession)
+      expired.push(expiredSession)
     }
-    return ended
+    return expired
   }
 
-  nextAtMs (): number | undefined {
-    return this.#ends.nextAtMs()
+  nextWakeAtMs (): number | undefined {
+    return this.#expiries.nextWakeAtMs()
   }
 }
 
-function reportAge (known: WorkerContact | undefined, incarnation: number, sequence: number): ReportAge {
+function reportFreshness (known: WorkerSession | undefined, incarnation: number, sequence: number): ReportFreshness {
   if (known === undefined) return 'first'
   if (incarnation > known.incarnation) return 'new_incarnation'
   if (incarnation < known.incarnation) return 'old_incarnation'
--- a/packages/control/src/worker-service.ts
+++ b/packages/control/src/worker-service.ts
@@ -5,12 +5,12 @@
 import { LeadershipProof } from './leadership-proof.js'
 import type { ControlAnswer, ControlResult } from './operations.js'
 import type { LeaderContext } from './leader-context.js'
-import type { ReportAge, WorkerContact } from './worker-leases.js'
+import type { ReportFreshness, WorkerSession } from './worker-leases.js'
 import type { WorkerAvailability } from './worker-availability.js'
 import type { WorkerRecord } from './workers.js'
 
 /** A report whose answer waits until leadership is proven. */
-interface WaitingReport {
+interface PendingReport {
   readonly requestId: string
   readonly report: WorkerReport
   readonly receivedAtMs: number
@@ -22,9 +22,9 @@
   readonly #gangs: GangLifeCycle
   readonly #availability: WorkerAvailability
   readonly #proof: LeadershipProof
-  readonly #proposing = new Set<string>()
+  readonly #pendingProposals = new Set<string>()
   readonly #proposalRetries = new DeadlineQueue()
-  #waiting: WaitingReport[] = []
+  #pendingReports: PendingReport[] = []
   #isProofInFlight = false
 
   constructor (context: LeaderContext, gangs: GangLifeCycle, availability: WorkerAvailability) {
@@ -45,152 +45,156 @@
   /** Treats tasks on workers that are recorded as lost as gone; call after the gangs are resumed. */
   dropTasksOfLostWorkers (nowMs: number): void {
     for (const { workerId, state } of this.#context.state.workers()) {
-      if (state === 'lost') this.#gangs.workerGone(workerId, `worker ${workerId} is lost`, nowMs)
+      if (state === 'lost') this.#gangs.onWorkerGone(workerId, `worker ${workerId} is lost`, nowMs)
     }
   }
 
   /** Takes in a report and says why it is refused, if it is. */
-  observe (report: WorkerReport, nowMs: number): Failure | undefined {
+  onReport (report: WorkerReport, nowMs: number): Failure | undefined {
     const { workerId, incarnation } = report
     const { state, leases } = this.#context
     if (!state.configuration.workers.has(workerId) && state.worker(workerId) === undefined) {
       return failure('not_found', `worker ${workerId} is not in the inventory`)
     }
     const hadLease = leases.get(workerId)?.hasLease ?? false
-    const age = leases.report(report, nowMs)
-    if (age === 'old_incarnation') {
+    const freshness = leases.renew(report, nowMs)
+    if (freshness === 'old_incarnation') {
       return failure('stale_term', `worker ${workerId} has a later incarnation than ${incarnation}`)
     }
-    if (age !== 'old_sequence') this.#takeIn(report, age, hadLease, nowMs)
+    if (freshness !== 'old_sequence') this.#processReport(report, freshness, hadLease, nowMs)
     return undefined
   }
 
   /** Answers a report with a lease, at once or when the next proposal proves leadership. */
-  answer (requestId: string, report: WorkerReport, nowMs: number): ControlAnswer | undefined {
-    if (this.#proof.covers(nowMs, nowMs)) return this.#lease(report)
-    this.#waiting.push({ requestId, report, receivedAtMs: nowMs })
-    this.#seekProof(nowMs)
+  answerReport (requestId: string, report: WorkerReport, nowMs: number): ControlAnswer | undefined {
+    if (this.#proof.isValid(nowMs, nowMs)) return this.#grantLease(report)
+    this.#pendingReports.push({ requestId, report, receivedAtMs: nowMs })
+    this.#proposeProof(nowMs)
     return undefined
   }
 
   /** Takes in that a proposal of this leader was committed; gives the answers that it allows. */
-  proven (proposedAtMs: number, isProof: boolean, nowMs: number): Array<{ requestId: string, result: ControlResult }> {
-    this.#proof.prove(proposedAtMs)
+  onCommitted (
+    proposedAtMs: number,
+    isProof: boolean,
+    nowMs: number
+  ): Array<{ requestId: string, result: ControlResult }> {
+    this.#proof.recordCommit(proposedAtMs)
     if (isProof) this.#isProofInFlight = false
-    const waiting = this.#waiting
-    this.#waiting = waiting.filter(({ receivedAtMs }) => !this.#proof.covers(receivedAtMs, nowMs))
-    if (this.#waiting.length > 0) this.#seekProof(nowMs)
-    return waiting
-      .filter(({ receivedAtMs }) => this.#proof.covers(receivedAtMs, nowMs))
-      .map(({ requestId, report }) => ({ requestId, result: { ok: true, value: this.#lease(report) } }))
+    const pending = this.#pendingReports
+    this.#pendingReports = pending.filter(({ receivedAtMs }) => !this.#proof.isValid(receivedAtMs, nowMs))
+    if (this.#pendingReports.length > 0) this.#proposeProof(nowMs)
+    return pending
+      .filter(({ receivedAtMs }) => this.#proof.isValid(receivedAtMs, nowMs))
+      .map(({ requestId, report }) => ({ requestId, result: { ok: true, value: this.#grantLease(report) } }))
   }
 
   /** Gives up the answers that wait, because leadership could not be proven. */
-  takeUnproven (): string[] {
-    const requestIds = this.#waiting.map(({ requestId }) => requestId)
-    this.#waiting = []
+  takePendingRequestIds (): string[] {
+    const requestIds = this.#pendingReports.map(({ requestId }) => requestId)
+    this.#pendingReports = []
     this.#isProofInFlight = false
     return requestIds
   }
 
   /** Takes in a committed change of a worker. */
-  changed (workerId: string, nowMs: number): void {
+  onWorkerChanged (workerId: string, nowMs: number): void {
     this.#availability.refresh(workerId, nowMs)
-    this.#agree(workerId, nowMs)
+    this.#reconcile(workerId, nowMs)
   }
 
   /** Takes in that a proposed change of a worker was committed or refused, or will not be committed. */
-  proposalEnded (workerId: string, isDone: boolean, nowMs: number): void {
-    this.#proposing.delete(workerId)
-    if (isDone) this.#agree(workerId, nowMs)
+  onProposalSettled (workerId: string, isApplied: boolean, nowMs: number): void {
+    this.#pendingProposals.delete(workerId)
+    if (isApplied) this.#reconcile(workerId, nowMs)
     else this.#proposalRetries.set(workerId, nowMs + this.#context.settings.proposalRetryMs)
   }
 
   /** Takes in that workers left the inventory; their gangs are stopped in order, as their cells may be given anew. */
-  removed (workerId: string, nowMs: number): void {
+  onWorkerRemoved (workerId: string, nowMs: number): void {
     this.#availability.refresh(workerId, nowMs)
     for (const { jobId } of this.#context.state.cellsOn(workerId)) {
-      const intent = { reason: `worker ${workerId} left the inventory`, isCheckpoint: true, goal: 'requeue' as const }
-      this.#gangs.requestStop(jobId, intent, false, nowMs)
+      const request = { reason: `worker ${workerId} left the inventory`, isCheckpoint: true, goal: 'requeue' as const }
+      this.#gangs.requestStop(jobId, request, false, nowMs)
     }
-    if (this.#context.state.worker(workerId) === undefined) this.#context.leases.forget(workerId)
+    if (this.#context.state.worker(workerId) === undefined) this.#context.leases.remove(workerId)
   }
 
   tick (nowMs: number): void {
-    for (const contact of this.#context.leases.takeEnded(nowMs)) this.#leaseEnded(contact, nowMs)
-    for (const workerId of this.#proposalRetries.takeDue(nowMs)) this.#agree(workerId, nowMs)
+    for (const session of this.#context.leases.takeExpired(nowMs)) this.#onLeaseExpired(session, nowMs)
+    for (const workerId of this.#proposalRetries.takeDue(nowMs)) this.#reconcile(workerId, nowMs)
   }
 
-  nextAtMs (): number | undefined {
-    return earliest([this.#context.leases.nextAtMs(), this.#proposalRetries.nextAtMs()])
+  nextWakeAtMs (): number | undefined {
+    return earliest([this.#context.leases.nextWakeAtMs(), this.#proposalRetries.nextWakeAtMs()])
   }
 
-  #seekProof (nowMs: number): void {
+  #proposeProof (nowMs: number): void {
     if (this.#isProofInFlight) return
     this.#isProofInFlight = true
     this.#context.proposals.propose({ kind: 'clock' }, { kind: 'proof' }, nowMs)
   }
 
-  #takeIn (report: WorkerReport, age: ReportAge, hadLease: boolean, nowMs: number): void {
+  #processReport (report: WorkerReport, freshness: ReportFreshness, hadLease: boolean, nowMs: number): void {
     const { workerId, incarnation } = report
-    if (age === 'new_incarnation') {
+    if (freshness === 'new_incarnation') {
       this.#context.log.info('worker restarted', { workerId, incarnation })
       this.#context.outbox.dropWorker(workerId)
-      this.#gangs.workerGone(workerId, `worker ${workerId} restarted`, nowMs)
+      this.#gangs.onWorkerGone(workerId, `worker ${workerId} restarted`, nowMs)
     }
     const reports = new Map(report.tasks.map(task => [taskReportKey(task), task]))
-    this.#gangs.observe(workerId, reports, nowMs)
-    this.#agree(workerId, nowMs)
+    this.#gangs.onReport(workerId, reports, nowMs)
+    this.#reconcile(workerId, nowMs)
     if (!hadLease) this.#availability.refresh(workerId, nowMs)
   }
 
-  #lease ({ workerId, tasks }: WorkerReport): ControlAnswer {
+  #grantLease ({ workerId, tasks }: WorkerReport): ControlAnswer {
     const { term, settings } = this.#context
     const stopTasks = tasks
-      .filter(task => !this.#isHeld(workerId, task))
+      .filter(task => !this.#isAllocated(workerId, task))
       .map(({ jobId, taskIndex, leaseId }) => ({ jobId, taskIndex, leaseId }))
     return { kind: 'worker_lease', term, leaseMs: settings.leaseMs, stopTasks }
   }
 
-  #isHeld (workerId: string, report: TaskReport): boolean {
+  #isAllocated (workerId: string, report: TaskReport): boolean {
     return this.#context.state.cellsOn(workerId).some(({ jobId, leaseId, task }) =>
       jobId === report.jobId && leaseId === report.leaseId && task.taskIndex === report.taskIndex)
   }
 
-  #leaseEnded ({ workerId }: WorkerContact, nowMs: number): void {
+  #onLeaseExpired ({ workerId }: WorkerSession, nowMs: number): void {
     this.#context.log.warn('worker lost', { workerId })
     this.#context.metrics.increment('worker_lost')
     this.#context.outbox.dropWorker(workerId)
-    this.#gangs.workerGone(workerId, `worker ${workerId} did not renew its lease`, nowMs)
+    this.#gangs.onWorkerGone(workerId, `worker ${workerId} did not renew its lease`, nowMs)
     this.#availability.refresh(workerId, nowMs)
-    this.#agree(workerId, nowMs)
+    this.#reconcile(workerId, nowMs)
   }
 
   /** Proposes what this leader knows of a worker where it differs from the state. */
-  #agree (workerId: string, nowMs: number): void {
-    if (this.#proposing.has(workerId)) return
+  #reconcile (workerId: string, nowMs: number): void {
+    if (this.#pendingProposals.has(workerId)) return
     const { state, leases, proposals } = this.#context
-    const known = state.worker(workerId)
-    if (known === undefined && !state.configuration.workers.has(workerId)) leases.forget(workerId)
-    const contact = leases.get(workerId)
-    if (contact === undefined || isSame(known, contact)) return
-    this.#proposing.add(workerId)
-    const { incarnation, address } = contact
-    proposals.propose({ kind: 'worker_state', workerId, state: wantedState(known, contact), incarnation, address },
+    const record = state.worker(workerId)
+    if (record === undefined && !state.configuration.workers.has(workerId)) leases.remove(workerId)
+    const session = leases.get(workerId)
+    if (session === undefined || isUpToDate(record, session)) return
+    this.#pendingProposals.add(workerId)
+    const { incarnation, address } = session
+    proposals.propose({ kind: 'worker_state', workerId, state: desiredState(record, session), incarnation, address },
       { kind: 'worker', workerId }, nowMs)
   }
 }
 
 /** A worker that is leaving keeps draining until its next process. */
-function wantedState (known: WorkerRecord | undefined, { hasLease, incarnation }: WorkerContact): WorkerRecord['state'] {
+function desiredState (record: WorkerRecord | undefined, { hasLease, incarnation }: WorkerSession): WorkerRecord['state'] {
   if (!hasLease) return 'lost'
-  const isKept = known !== undefined && known.incarnation === incarnation && known.state !== 'lost'
-  return isKept ? known.state : 'active'
+  const isSameProcess = record !== undefined && record.incarnation === incarnation && record.state !== 'lost'
+  return isSameProcess ? record.state : 'active'
 }
 
-function isSame (known: WorkerRecord | undefined, contact: WorkerContact): boolean {
-  return known !== undefined &&
-    known.incarnation === contact.incarnation &&
-    known.address === contact.address &&
-    known.state === wantedState(known, contact)
+function isUpToDate (record: WorkerRecord | undefined, session: WorkerSession): boolean {
+  return record !== undefined &&
+    record.incarnation === session.incarnation &&
+    record.address === session.address &&
+    record.state === desiredState(record, session)
 }
--- a/packages/control/src/workers.ts
+++ b/packages/control/src/workers.ts
@@ -1,6 +1,6 @@
 /** Workers that announced themselves, with the state that the control nodes agreed on. */
 import type { WorkerState } from '@comfreygrade/core'
-import { done, refuse } from './refusals.js'
+import { done, refuse } from './command-results.js'
 import type { CommandResult, ControlCommand } from './commands.js'
 
 /** A worker as it is kept; records are replaced, never changed. */
@@ -12,7 +12,7 @@
   readonly address: string
 }
 
-type WorkerCommand = Extract<ControlCommand, { kind: 'worker_state' }>
+type WorkerStateCommand = Extract<ControlCommand, { kind: 'worker_state' }>
 
 /** Announced workers by ID. */
 export class WorkerTable {
@@ -27,7 +27,7 @@
   }
 
   /** Takes over a change unless a later incarnation is known. */
-  apply ({ workerId, state, incarnation, address }: WorkerCommand): CommandResult {
+  apply ({ workerId, state, incarnation, address }: WorkerStateCommand): CommandResult {
     const known = this.#workers.get(workerId)
     if (known !== undefined && known.incarnation > incarnation) {
       return refuse('stale_term', `worker ${workerId} has incarnation ${known.incarnation}, the command names ${incarnation}`)
--- a/packages/control/test/claim-grants.test.ts
+++ b/packages/control/test/claim-grants.test.ts
@@ -7,52 +7,52 @@
 const request = { kind: 'claim_request', organisationId: 'o1', key, digest: 'd' } as const
 const settlement = { kind: 'settle_claim', organisationId: 'o1', key, answer: null } as const
 
-function granted (table: ClaimTable, claimantId: string, logTimeMs = 2_000): boolean {
+function isGranted (table: ClaimTable, claimantId: string, logTimeMs = 2_000): boolean {
   const result = table.claim({ ...request, claimantId }, logTimeMs, maxDeadlineMs)
   return result.kind === 'claimed' && result.granted
 }
 
 test('a claimant that asks again after a lost answer is granted again, so that its claim does not stay pending', t => {
   const table = new ClaimTable(defaultControlStateSettings)
-  t.true(granted(table, 'a'))
-  t.true(granted(table, 'a'))
-  t.false(granted(table, 'b'))
+  t.true(isGranted(table, 'a'))
+  t.true(isGranted(table, 'a'))
+  t.false(isGranted(table, 'b'))
 })
 
 test('a claim that certainly did not run is granted to the repeat, as its caller was told to repeat it', t => {
   const table = new ClaimTable(defaultControlStateSettings)
-  t.true(granted(table, 'a'))
+  t.true(isGranted(table, 'a'))
   table.settle({ ...settlement, claimantId: 'a', state: 'not_run' }, 5)
-  t.true(granted(table, 'b'))
-  t.false(granted(table, 'c'))
+  t.true(isGranted(table, 'b'))
+  t.false(isGranted(table, 'c'))
 })
 
 test('only the claimant settles a claim, so that a late settlement does not free a key that another one runs', t => {
   const table = new ClaimTable(defaultControlStateSettings)
-  granted(table, 'a')
+  isGranted(table, 'a')
   table.settle({ ...settlement, claimantId: 'a', state: 'not_run' }, 5)
-  granted(table, 'b')
+  isGranted(table, 'b')
   t.like(table.settle({ ...settlement, claimantId: 'a', state: 'not_run' }, 6), { kind: 'refused' })
-  t.false(granted(table, 'c'))
+  t.false(isGranted(table, 'c'))
 })
 
 test('a completed or unknown claim is never granted again', t => {
   for (const state of ['completed', 'unknown'] as const) {
     const table = new ClaimTable(defaultControlStateSettings)
-    granted(table, 'a')
+    isGranted(table, 'a')
     table.settle({ ...settlement, claimantId: 'a', state }, 5)
-    t.false(granted(table, 'a'))
-    t.false(granted(table, 'b'))
+    t.false(isGranted(table, 'a'))
+    t.false(isGranted(table, 'b'))
   }
 })
 
 test('a claim granted anew keeps its place in the order of retention and is then refused as expired', t => {
   const table = new ClaimTable(defaultControlStateSettings)
   const { claimRetentionMs } = defaultControlStateSettings
-  granted(table, 'a')
+  isGranted(table, 'a')
   table.settle({ ...settlement, claimantId: 'a', state: 'not_run' }, 5)
-  granted(table, 'b', claimRetentionMs)
-  table.forget(claimRetentionMs + 30_000)
+  isGranted(table, 'b', claimRetentionMs)
+  table.removeExpired(claimRetentionMs + 30_000)
   t.is(table.size, 0)
   const late = table.claim({ ...request, claimantId: 'c' }, claimRetentionMs + 30_000, maxDeadlineMs)
   t.is(late.kind === 'refused' ? late.failure.kind : late.kind, 'key_expired')
--- a/packages/control/test/execution-checks.ts
+++ b/packages/control/test/execution-checks.ts
@@ -3,10 +3,10 @@
 import type { Execution, ExecutionRecord } from './fake-worker.js'
 
 /** Accelerators that two tasks used at the same time. */
-export function findSharedCells ({ executions }: ExecutionRecord): string[] {
+export function findSharedAccelerators ({ executions }: ExecutionRecord): string[] {
   return pairs(executions)
-    .filter(([left, right]) => left.workerId === right.workerId && isTogether(left, right) && shareCells(left, right))
-    .map(([left, right]) => `${name(left)} and ${name(right)} share accelerators of ${left.workerId}`)
+    .filter(([left, right]) => left.workerId === right.workerId && areConcurrent(left, right) && overlap(left, right))
+    .map(([left, right]) => `${describe(left)} and ${describe(right)} share accelerators of ${left.workerId}`)
 }
 
 /** Tasks that ran although some task of their gang was never held before. */
@@ -15,14 +15,15 @@
     const tasks = jobs.find(({ spec }) => spec.jobId === execution.jobId)?.spec.tasks ?? 0
     const held = holds.filter(hold => hold.leaseId === execution.leaseId && hold.atMs <= execution.startMs)
     return new Set(held.map(({ taskIndex }) => taskIndex)).size < tasks
-  }).map(execution => `${name(execution)} ran before its whole gang was held`)
+  }).map(execution => `${describe(execution)} ran before its whole gang was held`)
 }
 
 /** Jobs that ran under two leases at the same time. */
-export function findDoubleRuns ({ executions }: ExecutionRecord): string[] {
+export function findConcurrentRuns ({ executions }: ExecutionRecord): string[] {
   return pairs(executions)
-    .filter(([left, right]) => left.jobId === right.jobId && left.leaseId !== right.leaseId && isTogether(left, right))
-    .map(([left, right]) => `${name(left)} and ${name(right)} ran at the same time`)
+    .filter(([left, right]) =>
+      left.jobId === right.jobId && left.leaseId !== right.leaseId && areConcurrent(left, right))
+    .map(([left, right]) => `${describe(left)} and ${describe(right)} ran at the same time`)
 }
 
 /** Jobs that may run once and ran under two leases. */
@@ -34,7 +35,11 @@
 }
 
 /** Jobs whose recorded end differs from what the workers did. */
-export function findUntrueEnds ({ executions }: ExecutionRecord, jobs: readonly JobRecord[], nowMs: number): string[] {
+export function findWrongOutcomes (
+  { executions }: ExecutionRecord,
+  jobs: readonly JobRecord[],
+  nowMs: number
+): string[] {
   const problems: string[] = []
   for (const { spec, phase, outcome } of jobs) {
     const runs = executions.filter(run => run.jobId === spec.jobId)
@@ -54,11 +59,11 @@
 /** All of the checks above. */
 export function findViolations (record: ExecutionRecord, jobs: readonly JobRecord[], nowMs: number): string[] {
   return [
-    ...findSharedCells(record),
+    ...findSharedAccelerators(record),
     ...findPartialGangs(record, jobs),
-    ...findDoubleRuns(record),
+    ...findConcurrentRuns(record),
     ...findRepeatedRuns(record, jobs),
-    ...findUntrueEnds(record, jobs, nowMs)
+    ...findWrongOutcomes(record, jobs, nowMs)
   ]
 }
 
@@ -67,15 +72,15 @@
     executions.slice(position + 1).map((right): [Execution, Execution] => [left, right]))
 }
 
-function isTogether (left: Execution, right: Execution): boolean {
+function areConcurrent (left: Execution, right: Execution): boolean {
   return left.startMs < right.endMs && right.startMs < left.endMs
 }
 
-function shareCells (left: Execution, right: Execution): boolean {
+function overlap (left: Execution, right: Execution): boolean {
   return left.firstAccelerator < right.firstAccelerator + right.acceleratorCount &&
     right.firstAccelerator < left.firstAccelerator + left.acceleratorCount
 }
 
-function name ({ jobId, leaseId, taskIndex }: Execution): string {
+function describe ({ jobId, leaseId, taskIndex }: Execution): string {
   return `task ${taskIndex} of ${jobId} (lease ${leaseId})`
 }
--- a/packages/control/test/fake-scheduler.ts
+++ b/packages/control/test/fake-scheduler.ts
@@ -3,11 +3,11 @@
 import type { FleetReport, PlacementDecision, ReclaimCheck } from '@comfreygrade/placement'
 import { GuaranteeValidator, JobScheduler } from '../src/index.js'
 
-const MAX_FAILURES_OF_A_JOB = 6
+const MAX_JOB_FAILURES = 6
 
 export class FakeScheduler extends JobScheduler {
   /** Decisions for the next pass. */
-  readonly extra: PlacementDecision[] = []
+  readonly extraDecisions: PlacementDecision[] = []
   readonly calls: string[] = []
   readonly #waiting = new Map<string, JobSpec>()
   readonly #placed = new Map<string, Placement>()
@@ -63,7 +63,7 @@
   }
 
   override pass (): PlacementDecision[] {
-    const decisions = this.extra.splice(0)
+    const decisions = this.extraDecisions.splice(0)
     for (const job of [...this.#waiting.values()]) {
       const decision = this.#decide(job)
       if (decision !== undefined) decisions.push(decision)
@@ -95,26 +95,26 @@
 
   #decide (job: JobSpec): PlacementDecision | undefined {
     const { jobId } = job
-    if ((this.#failures.get(jobId) ?? 0) >= MAX_FAILURES_OF_A_JOB) {
+    if ((this.#failures.get(jobId) ?? 0) >= MAX_JOB_FAILURES) {
       return { kind: 'stop', jobId, failure: { kind: 'internal_error', detail: 'the job fails everywhere' } }
     }
-    const placement = this.#fit(job)
+    const placement = this.#findFirstFit(job)
     if (placement === undefined) return undefined
     this.#waiting.delete(jobId)
     this.#placed.set(jobId, placement)
     return { kind: 'place', jobId, placement }
   }
 
-  #fit (job: JobSpec): Placement | undefined {
+  #findFirstFit (job: JobSpec): Placement | undefined {
     const tasks: TaskPlacement[] = []
-    const held = new Set([...this.#placed.values()].flatMap(({ tasks }) => tasks.flatMap(cellNames)))
+    const allocated = new Set([...this.#placed.values()].flatMap(({ tasks }) => tasks.flatMap(acceleratorIds)))
     for (const workerId of this.#available) {
       const accelerators = this.#configuration?.workers.get(workerId)?.accelerators ?? 0
       for (let first = 0; first + job.acceleratorsPerTask <= accelerators; first += job.acceleratorsPerTask) {
         const cell = {
           taskIndex: tasks.length, workerId, firstAccelerator: first, acceleratorCount: job.acceleratorsPerTask
         }
-        const isFree = !cellNames(cell).some(name => held.has(name))
+        const isFree = !acceleratorIds(cell).some(name => allocated.has(name))
         if (isFree && tasks.length < job.tasks) tasks.push(cell)
       }
     }
@@ -122,7 +122,7 @@
   }
 }
 
-function cellNames ({ workerId, firstAccelerator, acceleratorCount }: TaskPlacement): string[] {
+function acceleratorIds ({ workerId, firstAccelerator, acceleratorCount }: TaskPlacement): string[] {
   return Array.from({ length: acceleratorCount }, (_, offset) => `${workerId}/${firstAccelerator + offset}`)
 }
 
--- a/packages/control/test/fake-worker.ts
+++ b/packages/control/test/fake-worker.ts
@@ -29,7 +29,7 @@
   readonly holds: Hold[] = []
 }
 
-export type Behaviour = 'works' | 'refuses' | 'fails' | 'ignores_stop'
+export type WorkerBehaviour = 'works' | 'refuses' | 'fails' | 'ignores_stop'
 type Lease = Extract<ControlAnswer, { kind: 'worker_lease' }>
 
 interface WorkerTask {
@@ -40,15 +40,15 @@
 
 export class FakeWorker {
   readonly workerId: string
-  behaviour: Behaviour = 'works'
-  isDead = false
+  behaviour: WorkerBehaviour = 'works'
+  isCrashed = false
   isFrozen = false
   /** Nothing reaches it and nothing that it sends arrives, while its tasks go on. */
-  isCutOff = false
+  isPartitioned = false
   runMs = 400
   readonly #record: ExecutionRecord
   /** Rate of its clock against the leader's: a slow clock keeps a lease longer. */
-  readonly #rate: number
+  readonly #clockRate: number
   readonly #tasks = new Map<string, WorkerTask>()
   readonly #refusedLeases = new Set<string>()
   #incarnation = 1
@@ -56,45 +56,45 @@
   #highestTerm = 0
   #leaseEndMs = Number.NEGATIVE_INFINITY
 
-  constructor (workerId: string, rate: number, record: ExecutionRecord) {
+  constructor (workerId: string, clockRate: number, record: ExecutionRecord) {
     this.workerId = workerId
-    this.#rate = rate
+    this.#clockRate = clockRate
     this.#record = record
   }
 
   get isReachable (): boolean {
-    return !this.isDead && !this.isFrozen
+    return !this.isCrashed && !this.isFrozen
   }
 
   /** Lets time pass: tasks complete, and all are given up when the lease ends. */
   advance (nowMs: number): void {
     if (!this.isReachable) return
     for (const task of this.#tasks.values()) {
-      const doneMs = (task.execution?.startMs ?? 0) + this.runMs
-      if (task.state !== 'running' || doneMs > Math.min(nowMs, this.#leaseEndMs)) continue
-      this.#end(task, 'completed', doneMs)
+      const completionMs = (task.execution?.startMs ?? 0) + this.runMs
+      if (task.state !== 'running' || completionMs > Math.min(nowMs, this.#leaseEndMs)) continue
+      this.#endTask(task, 'completed', completionMs)
     }
     if (nowMs < this.#leaseEndMs) return
     for (const [key, task] of this.#tasks) {
       if (task.state !== 'running' && task.state !== 'prepared') continue
-      this.#end(task, 'stopped', this.#leaseEndMs)
+      this.#endTask(task, 'stopped', this.#leaseEndMs)
       this.#tasks.delete(key)
       this.#refusedLeases.add(key)
     }
   }
 
   /** Stops everything without notice. */
-  die (nowMs: number): void {
+  crash (nowMs: number): void {
     this.advance(nowMs)
-    this.isDead = true
-    for (const task of this.#tasks.values()) this.#end(task, 'stopped', nowMs)
+    this.isCrashed = true
+    for (const task of this.#tasks.values()) this.#endTask(task, 'stopped', nowMs)
     this.#tasks.clear()
   }
 
   /** Starts a new process that remembers nothing. */
   restart (nowMs: number): void {
-    this.die(nowMs)
-    this.isDead = false
+    this.crash(nowMs)
+    this.isCrashed = false
     this.isFrozen = false
     this.#incarnation += 1
     this.#sequence = 0
@@ -117,7 +117,7 @@
     if (!this.isFrozen) return
     this.isFrozen = false
     for (const task of this.#tasks.values()) {
-      if (task.state === 'running' && nowMs < this.#leaseEndMs) this.#run(task, nowMs)
+      if (task.state === 'running' && nowMs < this.#leaseEndMs) this.#startExecution(task, nowMs)
     }
     this.advance(nowMs)
   }
@@ -135,27 +135,27 @@
     this.advance(nowMs)
     if (!this.isReachable || report.incarnation !== this.#incarnation || lease.term < this.#highestTerm) return
     this.#highestTerm = lease.term
-    this.#leaseEndMs = Math.max(this.#leaseEndMs, sentMs + lease.leaseMs / this.#rate)
-    for (const task of lease.stopTasks) this.#stop(`${task.leaseId}/${task.taskIndex}`, nowMs)
+    this.#leaseEndMs = Math.max(this.#leaseEndMs, sentMs + lease.leaseMs / this.#clockRate)
+    for (const task of lease.stopTasks) this.#stopTask(`${task.leaseId}/${task.taskIndex}`, nowMs)
   }
 
   receive (term: number, orders: readonly WorkerOrder[], nowMs: number): OrderResult[] {
     this.advance(nowMs)
     if (term < this.#highestTerm) return orders.map(() => 'stale_term')
     this.#highestTerm = term
-    return orders.map(order => this.#obey(order, nowMs))
+    return orders.map(order => this.#execute(order, nowMs))
   }
 
-  #obey (order: WorkerOrder, nowMs: number): OrderResult {
+  #execute (order: WorkerOrder, nowMs: number): OrderResult {
     const key = `${order.leaseId}/${order.taskIndex}`
     if (order.incarnation !== this.#incarnation) return 'refused'
-    if (order.kind === 'stop') return this.#stop(key, nowMs)
+    if (order.kind === 'stop') return this.#stopTask(key, nowMs)
     if (nowMs >= this.#leaseEndMs) return 'refused'
     const task = this.#tasks.get(key)
     if (order.kind === 'prepare') return task === undefined ? this.#prepare(key, order, nowMs) : 'accepted'
     if (task === undefined) return 'unknown_lease'
-    if (order.kind === 'start' && task.state === 'prepared') this.#start(task, nowMs)
-    if (order.kind === 'checkpoint') this.#end(task, 'stopped', nowMs)
+    if (order.kind === 'start' && task.state === 'prepared') this.#startTask(task, nowMs)
+    if (order.kind === 'checkpoint') this.#endTask(task, 'stopped', nowMs)
     return 'accepted'
   }
 
@@ -168,13 +168,13 @@
     return 'accepted'
   }
 
-  #start (task: WorkerTask, nowMs: number): void {
+  #startTask (task: WorkerTask, nowMs: number): void {
     task.state = 'running'
-    this.#run(task, nowMs)
-    if (this.behaviour === 'fails') this.#end(task, 'failed', nowMs)
+    this.#startExecution(task, nowMs)
+    if (this.behaviour === 'fails') this.#endTask(task, 'failed', nowMs)
   }
 
-  #run (task: WorkerTask, nowMs: number): void {
+  #startExecution (task: WorkerTask, nowMs: number): void {
     const { jobId, leaseId, taskIndex, firstAccelerator, acceleratorCount } = task.order
     const { workerId } = this
     const endMs = Number.POSITIVE_INFINITY
@@ -184,17 +184,17 @@
     this.#record.executions.push(task.execution)
   }
 
-  #stop (key: string, nowMs: number): OrderResult {
+  #stopTask (key: string, nowMs: number): OrderResult {
     const task = this.#tasks.get(key)
     this.#refusedLeases.add(key)
     if (task === undefined) return 'unknown_lease'
     if (this.behaviour === 'ignores_stop') return 'accepted'
-    this.#end(task, 'stopped', nowMs)
+    this.#endTask(task, 'stopped', nowMs)
     this.#tasks.delete(key)
     return 'accepted'
   }
 
-  #end (task: WorkerTask, state: TaskState, nowMs: number): void {
+  #endTask (task: WorkerTask, state: TaskState, nowMs: number): void {
     if (task.state !== 'running' && task.state !== 'prepared') return
     task.state = state
     if (task.execution === undefined) return
--- a/packages/control/test/gang-life-cycle.test.ts
+++ b/packages/control/test/gang-life-cycle.test.ts
@@ -3,59 +3,59 @@
 import type { JobPhase, TaskState } from '@comfreygrade/core'
 import type { ControlSettings } from '../src/index.js'
 import {
-  findDoubleRuns, findPartialGangs, findRepeatedRuns, findSharedCells, findUntrueEnds, findViolations
+  findConcurrentRuns, findPartialGangs, findRepeatedRuns, findSharedAccelerators, findWrongOutcomes, findViolations
 } from './execution-checks.js'
-import type { Behaviour } from './fake-worker.js'
+import type { WorkerBehaviour } from './fake-worker.js'
 import { job, Simulation, type Message, type SimulationOptions } from './simulation.js'
 
 function violations (simulation: Simulation): string[] {
-  return findViolations(simulation.record, [...simulation.state.jobs()], simulation.nowMs)
+  return findViolations(simulation.executionRecord, [...simulation.state.jobs()], simulation.nowMs)
 }
 
 /** Workers have leases, and the jobs are asked for; nothing is committed yet. */
-function prepared (options?: SimulationOptions): Simulation {
+function simulationWithJobs (options?: SimulationOptions): Simulation {
   const simulation = new Simulation(options)
   simulation.run(200)
-  simulation.ask({ kind: 'submit_job', spec: job('gang', { tasks: 3 }) })
-  simulation.ask({ kind: 'submit_job', spec: job('once', { preemption: 'none' }) })
+  simulation.request({ kind: 'submit_job', spec: job('gang', { tasks: 3 }) })
+  simulation.request({ kind: 'submit_job', spec: job('once', { preemption: 'none' }) })
   return simulation
 }
 
 test('a worker that refuses a stop is asked again after a pause and not in a loop', t => {
-  const simulation = prepared()
+  const simulation = simulationWithJobs()
   while (simulation.step());
   simulation.worker('w0').restart(simulation.nowMs)
-  simulation.ask({ kind: 'cancel_job', jobId: 'gang' })
+  simulation.request({ kind: 'cancel_job', jobId: 'gang' })
   let steps = 0
   while (simulation.step() && steps < 200) steps += 1
   t.true(steps < 200, `${steps} steps without any time between them`)
 })
 
 /** What happens besides the messages; called before each step. */
-type Disturbance = (simulation: Simulation) => void
+type FaultInjector = (simulation: Simulation) => void
 
 /** A gang loses a worker while it starts and is cancelled while it stops; another job is taken back while it runs. */
-function disturbance (): Disturbance {
-  const disturbances: Array<readonly [jobId: string, phase: JobPhase, act: Disturbance]> = [
+function createFaultInjector (): FaultInjector {
+  const faults: Array<readonly [jobId: string, phase: JobPhase, act: FaultInjector]> = [
     ['once', 'starting', simulation => simulation.worker('w1').restart(simulation.nowMs)],
-    ['once', 'stopping', simulation => simulation.ask({ kind: 'submit_job', spec: job('lent', { preemption: 'checkpoint' }) })],
-    ['lent', 'running', simulation => simulation.scheduler.extra.push(
+    ['once', 'stopping', simulation => simulation.request({ kind: 'submit_job', spec: job('lent', { preemption: 'checkpoint' }) })],
+    ['lent', 'running', simulation => simulation.scheduler.extraDecisions.push(
       { kind: 'reclaim', jobId: 'lent', method: 'checkpoint', forJobId: 'gang', reason: 'lent' })],
-    ['lent', 'stopping', simulation => simulation.ask({ kind: 'cancel_job', jobId: 'lent' })]
+    ['lent', 'stopping', simulation => simulation.request({ kind: 'cancel_job', jobId: 'lent' })]
   ]
   return simulation => {
-    const [next] = disturbances
+    const [next] = faults
     if (next === undefined || simulation.state.job(next[0])?.phase !== next[1]) return
-    disturbances.shift()
+    faults.shift()
     next[2](simulation)
   }
 }
 
 /** Steps of the life cycle with a report of every worker whenever nothing else is on its way. */
-function takeSteps (simulation: Simulation, count: number, disturb: Disturbance = () => {}): number {
+function takeSteps (simulation: Simulation, count: number, injectFaults: FaultInjector = () => {}): number {
   let taken = 0
   for (let idle = 0; taken < count && idle < 30; taken += 1) {
-    disturb(simulation)
+    injectFaults(simulation)
     if (simulation.step()) continue
     idle += 1
     simulation.advance(50)
@@ -65,26 +65,26 @@
 }
 
 test('a gang that nothing disturbs runs whole and ends as completed', t => {
-  const simulation = prepared()
-  simulation.heal()
+  const simulation = simulationWithJobs()
+  simulation.recover()
   t.deepEqual(violations(simulation), [])
   t.deepEqual([...simulation.state.jobs()].map(({ outcome }) => outcome), ['completed', 'completed'])
-  t.is(simulation.record.executions.length, 5)
+  t.is(simulation.executionRecord.executions.length, 5)
 })
 
 for (const kept of [0, 1, 99]) {
   for (const fate of ['dropped', 'late', 'to the former leader'] as const) {
     test(`a leader replaced after any step loses no job and splits no gang: ${kept} proposals kept, messages ${fate}`, t => {
-      const total = takeSteps(prepared(), Number.POSITIVE_INFINITY)
+      const total = takeSteps(simulationWithJobs(), Number.POSITIVE_INFINITY)
       t.true(total > 60, `${total} steps`)
       for (let steps = 0; steps < total; steps += 1) {
-        const simulation = prepared()
+        const simulation = simulationWithJobs()
         takeSteps(simulation, steps)
         const late = simulation.messages.splice(0)
         simulation.replaceLeader(kept)
         if (fate !== 'dropped') simulation.messages.push(...late)
         if (fate === 'to the former leader') late.forEach(() => simulation.deliver(0, false, true))
-        simulation.heal()
+        simulation.recover()
         t.deepEqual(violations(simulation), [], `replaced after ${steps} steps`)
       }
     })
@@ -94,37 +94,37 @@
 for (const settings of [{}, { unstartedReleaseWaitMs: 30 }]) {
   const name = `releases confirmed within ${settings.unstartedReleaseWaitMs ?? 'a lease'}`
   test(`a leader replaced after any step of a loss, a cancellation and a reclaim splits no gang: ${name}`, t => {
-    const total = takeSteps(prepared({ settings }), Number.POSITIVE_INFINITY, disturbance())
+    const total = takeSteps(simulationWithJobs({ settings }), Number.POSITIVE_INFINITY, createFaultInjector())
     for (let steps = 0; steps < total; steps += 1) {
-      const simulation = prepared({ settings })
-      takeSteps(simulation, steps, disturbance())
+      const simulation = simulationWithJobs({ settings })
+      takeSteps(simulation, steps, createFaultInjector())
       const late = simulation.messages.splice(0)
       simulation.replaceLeader(steps % 3)
       simulation.messages.push(...late)
-      simulation.heal()
+      simulation.recover()
       t.deepEqual(violations(simulation), [], `replaced after ${steps} steps`)
     }
   })
 }
 
 test('a leader replaced twice in a row after any step loses no job and splits no gang', t => {
-  const total = takeSteps(prepared(), Number.POSITIVE_INFINITY)
+  const total = takeSteps(simulationWithJobs(), Number.POSITIVE_INFINITY)
   for (let steps = 0; steps < total; steps += 1) {
-    const simulation = prepared()
+    const simulation = simulationWithJobs()
     takeSteps(simulation, steps)
     simulation.replaceLeader(1)
     takeSteps(simulation, 7)
     simulation.replaceLeader(0)
-    simulation.heal()
+    simulation.recover()
     t.deepEqual(violations(simulation), [], `replaced after ${steps} steps`)
   }
 })
 
 for (const fault of ['lost', 'doubled', 'late'] as const) {
   test(`any single message that is ${fault} loses no job and splits no gang`, t => {
-    const total = takeSteps(prepared(), Number.POSITIVE_INFINITY)
+    const total = takeSteps(simulationWithJobs(), Number.POSITIVE_INFINITY)
     for (let steps = 0; steps < total; steps += 1) {
-      const simulation = prepared()
+      const simulation = simulationWithJobs()
       takeSteps(simulation, steps)
       const message = simulation.messages[0]
       if (message === undefined || simulation.proposals.length > 0) continue
@@ -132,7 +132,7 @@
       else simulation.drop(0)
       simulation.run(fault === 'late' ? 400 : 0)
       if (fault === 'late') simulation.messages.push(message)
-      simulation.heal()
+      simulation.recover()
       t.deepEqual(violations(simulation), [], `fault after ${steps} steps`)
     }
   })
@@ -144,18 +144,18 @@
   value: number
 ]
 
-const kinds: ReadonlyArray<readonly [Action[0], number]> = [
+const actionWeights: ReadonlyArray<readonly [Action[0], number]> = [
   ['commit', 30], ['deliver', 30], ['double', 6], ['drop', 4], ['former', 6], ['advance', 12], ['report', 16], ['die', 1],
   ['restart', 2], ['freeze', 3], ['resume', 3], ['cut', 3], ['rejoin', 3], ['refuse', 1], ['fail', 1], ['work', 2], ['replace', 3], ['submit', 6],
   ['cancel', 2], ['reclaim', 3], ['drain', 1], ['run', 8]
 ]
 
 const actions = fc.array(fc.tuple(
-  fc.oneof(...kinds.map(([kind, weight]) => ({ weight, arbitrary: fc.constant(kind) }))),
+  fc.oneof(...actionWeights.map(([kind, weight]) => ({ weight, arbitrary: fc.constant(kind) }))),
   fc.nat(999)
 ), { minLength: 80, maxLength: 160 })
 
-function act (simulation: Simulation, [kind, value]: Action): void {
+function performAction (simulation: Simulation, [kind, value]: Action): void {
   const worker = simulation.workers[value % simulation.workers.length]
   const position = simulation.messages.length === 0 ? 0 : value % simulation.messages.length
   const jobId = `j${value % 6}`
@@ -168,20 +168,20 @@
     case 'former': simulation.deliver(position, false, true); break
     case 'advance': simulation.advance(value); break
     case 'report': simulation.sendReport(worker); break
-    case 'die': worker.die(simulation.nowMs); break
+    case 'die': worker.crash(simulation.nowMs); break
     case 'restart': worker.restart(simulation.nowMs); break
     case 'freeze': worker.freeze(simulation.nowMs); break
     case 'resume': worker.resume(simulation.nowMs); break
-    case 'cut': worker.isCutOff = true; break
-    case 'rejoin': worker.isCutOff = false; break
+    case 'cut': worker.isPartitioned = true; break
+    case 'rejoin': worker.isPartitioned = false; break
     case 'refuse': worker.behaviour = 'refuses'; break
     case 'fail': worker.behaviour = 'fails'; break
     case 'work': worker.behaviour = 'works'; break
     case 'replace': simulation.replaceLeader(value % 4); break
-    case 'submit': simulation.ask({ kind: 'submit_job', spec: randomJob(jobId, value) }); break
-    case 'cancel': simulation.ask({ kind: 'cancel_job', jobId }); break
-    case 'reclaim': simulation.scheduler.extra.push({ kind: 'reclaim', jobId, method: value % 2 === 0 ? 'checkpoint' : 'stop', forJobId: 'other', reason: 'lent' }); break
-    case 'drain': simulation.ask({ kind: value % 2 === 0 ? 'drain' : 'undrain', drain: { kind: 'worker', id: worker.workerId } }); break
+    case 'submit': simulation.request({ kind: 'submit_job', spec: randomJob(jobId, value) }); break
+    case 'cancel': simulation.request({ kind: 'cancel_job', jobId }); break
+    case 'reclaim': simulation.scheduler.extraDecisions.push({ kind: 'reclaim', jobId, method: value % 2 === 0 ? 'checkpoint' : 'stop', forJobId: 'other', reason: 'lent' }); break
+    case 'drain': simulation.request({ kind: value % 2 === 0 ? 'drain' : 'undrain', drain: { kind: 'worker', id: worker.workerId } }); break
     case 'run': simulation.run(200); break
   }
 }
@@ -191,22 +191,22 @@
   return job(jobId, { preemption, tasks: 1 + value % 3, acceleratorsPerTask: value % 2 === 0 ? 2 : 4 })
 }
 
-function play (list: readonly Action[], options?: SimulationOptions): Simulation {
+function runActions (list: readonly Action[], options?: SimulationOptions): Simulation {
   const simulation = new Simulation({ workers: 5, ...options })
   simulation.workers.forEach((worker, position) => { worker.runMs = 400 + 700 * (position % 3) })
   simulation.run(200)
-  for (const action of list) act(simulation, action)
+  for (const action of list) performAction(simulation, action)
   for (const worker of simulation.workers) {
-    simulation.ask({ kind: 'undrain', drain: { kind: 'worker', id: worker.workerId } })
+    simulation.request({ kind: 'undrain', drain: { kind: 'worker', id: worker.workerId } })
   }
-  simulation.heal()
+  simulation.recover()
   return simulation
 }
 
 for (const unstartedReleaseWaitMs of [60_000, 30]) {
   test(`random faults and new leaders never split or double a gang: releases confirmed within ${unstartedReleaseWaitMs} ms`, t => {
     fc.assert(fc.property(actions, list => {
-      const found = violations(play(list, { settings: { unstartedReleaseWaitMs } }))
+      const found = violations(runActions(list, { settings: { unstartedReleaseWaitMs } }))
       if (found.length > 0) throw new Error(found.join('\n'))
     }), { seed: 20_261_204, numRuns: 300 })
     t.pass()
@@ -217,24 +217,24 @@
   const startAfter = (unstartedReleaseWaitMs: number): number => {
     const simulation = new Simulation({ workers: 4, settings: { unstartedReleaseWaitMs } })
     simulation.run(200)
-    simulation.worker('w0').isCutOff = true
-    simulation.ask({ kind: 'submit_job', spec: job('urgent', { priority: 'urgent' }) })
+    simulation.worker('w0').isPartitioned = true
+    simulation.request({ kind: 'submit_job', spec: job('urgent', { priority: 'urgent' }) })
     simulation.run(2_000)
-    return (simulation.record.executions[0]?.startMs ?? Number.POSITIVE_INFINITY) - 200
+    return (simulation.executionRecord.executions[0]?.startMs ?? Number.POSITIVE_INFINITY) - 200
   }
   t.true(startAfter(30) < 500)
   t.true(startAfter(60_000) > 500)
 })
 
 test('the checker of doubled runs notices a leader that does not wait for the end of a lease', t => {
-  t.deepEqual(findDoubleRuns(runWithCutOffWorker({}).record), [])
-  t.not(findDoubleRuns(runWithCutOffWorker({ settings: { clockRateBound: -0.9 } }).record).length, 0)
+  t.deepEqual(findConcurrentRuns(runWithPartitionedWorker({}).executionRecord), [])
+  t.not(findConcurrentRuns(runWithPartitionedWorker({ settings: { clockRateBound: -0.9 } }).executionRecord).length, 0)
 })
 
 test('a gang that must stop is not started elsewhere while a task on a silent worker may run', t => {
-  const simulation = runWithCutOffWorker({}, silent => silent.worker('w0').restart(silent.nowMs))
-  t.deepEqual(findDoubleRuns(simulation.record), [])
-  t.is(new Set(simulation.record.executions.map(({ leaseId }) => leaseId)).size, 2)
+  const simulation = runWithPartitionedWorker({}, silent => silent.worker('w0').restart(silent.nowMs))
+  t.deepEqual(findConcurrentRuns(simulation.executionRecord), [])
+  t.is(new Set(simulation.executionRecord.executions.map(({ leaseId }) => leaseId)).size, 2)
 })
 
 test('reports from before a placement do not release its tasks', t => {
@@ -244,36 +244,36 @@
   simulation.sendReport(simulation.worker('w1'))
   simulation.sendReport(simulation.worker('w1'))
   const early = simulation.messages.splice(0)
-  simulation.ask({ kind: 'submit_job', spec: job('gang') })
+  simulation.request({ kind: 'submit_job', spec: job('gang') })
   while (simulation.step());
-  t.is(simulation.record.executions.length, 2)
-  simulation.ask({ kind: 'drain', drain: { kind: 'worker', id: 'w1' } })
+  t.is(simulation.executionRecord.executions.length, 2)
+  simulation.request({ kind: 'drain', drain: { kind: 'worker', id: 'w1' } })
   simulation.messages.push(...early)
   while (simulation.messages.some(({ kind }) => kind === 'report')) simulation.deliver(0)
-  simulation.worker('w1').isCutOff = true
+  simulation.worker('w1').isPartitioned = true
   simulation.run(3_000)
-  t.deepEqual(findDoubleRuns(simulation.record), [])
+  t.deepEqual(findConcurrentRuns(simulation.executionRecord), [])
 })
 
 /** A gang runs on a worker with a slow clock that is cut off, and is started again without it. */
-function runWithCutOffWorker (
+function runWithPartitionedWorker (
   options: SimulationOptions,
-  whenCutOff: (simulation: Simulation) => void = () => {}
+  onPartition: (simulation: Simulation) => void = () => {}
 ): Simulation {
   const simulation = new Simulation({ ...options, workers: 5 })
   for (const worker of simulation.workers) worker.runMs = 5_000
   simulation.run(200)
-  simulation.ask({ kind: 'submit_job', spec: job('gang', { tasks: 2 }) })
+  simulation.request({ kind: 'submit_job', spec: job('gang', { tasks: 2 }) })
   simulation.run(300)
-  simulation.worker('w1').isCutOff = true
-  whenCutOff(simulation)
+  simulation.worker('w1').isPartitioned = true
+  onPartition(simulation)
   simulation.run(3_000)
   return simulation
 }
 
 test('the checker of doubled runs notices a frozen leader that renews leases which its successor counts down', t => {
-  t.deepEqual(findDoubleRuns(runWithFrozenLeader({}).record), [])
-  t.not(findDoubleRuns(runWithFrozenLeader({ leadershipValidMs: 60_000 }).record).length, 0)
+  t.deepEqual(findConcurrentRuns(runWithFrozenLeader({}).executionRecord), [])
+  t.not(findConcurrentRuns(runWithFrozenLeader({ leadershipValidMs: 60_000 }).executionRecord).length, 0)
 })
 
 /** The former leader wakes up after its successor started, and gets the reports of one worker. */
@@ -281,7 +281,7 @@
   const simulation = new Simulation({ settings, workers: 4 })
   for (const worker of simulation.workers) worker.runMs = 5_000
   simulation.run(200)
-  simulation.ask({ kind: 'submit_job', spec: job('gang', { tasks: 2 }) })
+  simulation.request({ kind: 'submit_job', spec: job('gang', { tasks: 2 }) })
   simulation.run(300)
   simulation.replaceLeader()
   for (let round = 0; round < 20; round += 1) {
@@ -290,37 +290,37 @@
     for (let position = 0; position < simulation.messages.length; position += 1) {
       if (simulation.messages[position]?.kind === 'lease') simulation.deliver(position)
     }
-    simulation.worker('w1').isCutOff = true
+    simulation.worker('w1').isPartitioned = true
     simulation.run(100)
-    simulation.worker('w1').isCutOff = false
+    simulation.worker('w1').isPartitioned = false
   }
   return simulation
 }
 
 test('the checker of shared cells notices a worker that goes on after it confirmed a stop', t => {
-  const run = (behaviour: Behaviour): Simulation => {
+  const run = (behaviour: WorkerBehaviour): Simulation => {
     const simulation = new Simulation({ workers: 2 })
     simulation.run(200)
     for (const worker of simulation.workers) Object.assign(worker, { behaviour, runMs: 2_000 })
-    simulation.ask({ kind: 'submit_job', spec: job('first') })
+    simulation.request({ kind: 'submit_job', spec: job('first') })
     simulation.run(200)
-    simulation.ask({ kind: 'cancel_job', jobId: 'first' })
-    simulation.ask({ kind: 'submit_job', spec: job('second') })
+    simulation.request({ kind: 'cancel_job', jobId: 'first' })
+    simulation.request({ kind: 'submit_job', spec: job('second') })
     simulation.run(1_000)
     return simulation
   }
-  t.deepEqual(findSharedCells(run('works').record), [])
-  t.not(findSharedCells(run('ignores_stop').record).length, 0)
+  t.deepEqual(findSharedAccelerators(run('works').executionRecord), [])
+  t.not(findSharedAccelerators(run('ignores_stop').executionRecord).length, 0)
 })
 
 test('the checker of partial gangs notices a refused preparation that is passed on as accepted', t => {
   const run = (tamper: (message: Message) => Message): string[] => {
-    const simulation = new Simulation({ tamper })
+    const simulation = new Simulation({ intercept: tamper })
     simulation.run(200)
     simulation.worker('w1').behaviour = 'refuses'
-    simulation.ask({ kind: 'submit_job', spec: job('gang', { tasks: 3 }) })
+    simulation.request({ kind: 'submit_job', spec: job('gang', { tasks: 3 }) })
     simulation.run(400)
-    return findPartialGangs(simulation.record, [...simulation.state.jobs()])
+    return findPartialGangs(simulation.executionRecord, [...simulation.state.jobs()])
   }
   t.deepEqual(run(message => message), [])
   t.not(run(message => message.kind === 'answer' ? { ...message, results: message.results.map(() => 'accepted') } : message).length, 0)
@@ -330,12 +330,12 @@
   const run = (preemption: 'none' | 'repeat'): string[] => {
     const simulation = new Simulation()
     simulation.run(200)
-    simulation.ask({ kind: 'submit_job', spec: job('charge', { preemption }) })
+    simulation.request({ kind: 'submit_job', spec: job('charge', { preemption }) })
     simulation.run(200)
     simulation.worker('w0').restart(simulation.nowMs)
-    simulation.heal()
+    simulation.recover()
     const jobs = [...simulation.state.jobs()].map(record => ({ ...record, spec: job('charge', { preemption: 'none' }) }))
-    return findRepeatedRuns(simulation.record, jobs)
+    return findRepeatedRuns(simulation.executionRecord, jobs)
   }
   t.deepEqual(run('none'), [])
   t.not(run('repeat').length, 0)
@@ -346,12 +346,12 @@
     const tamper = (message: Message): Message => message.kind === 'report'
       ? { ...message, report: { ...message.report, tasks: message.report.tasks.map(task => ({ ...task, state: task.state === 'running' ? state : task.state })) } }
       : message
-    const simulation = new Simulation({ tamper })
+    const simulation = new Simulation({ intercept: tamper })
     simulation.workers.forEach(worker => { worker.runMs = 900 })
     simulation.run(200)
-    simulation.ask({ kind: 'submit_job', spec: job('gang') })
-    simulation.heal()
-    return findUntrueEnds(simulation.record, [...simulation.state.jobs()], simulation.nowMs)
+    simulation.request({ kind: 'submit_job', spec: job('gang') })
+    simulation.recover()
+    return findWrongOutcomes(simulation.executionRecord, [...simulation.state.jobs()], simulation.nowMs)
   }
   t.deepEqual(run('running'), [])
   t.not(run('completed').length, 0)
--- a/packages/control/test/leader.test.ts
+++ b/packages/control/test/leader.test.ts
@@ -6,14 +6,14 @@
 
 const KEY = '00000000-1000-7000-8000-000000000001'
 
-function ready (workers = 3): Simulation {
+function startedSimulation (workers = 3): Simulation {
   const simulation = new Simulation({ workers })
   simulation.run(200)
   return simulation
 }
 
-function answerTo (simulation: Simulation, operation: ControlOperation): ControlResult | undefined {
-  const requestId = simulation.ask(operation)
+function requestResult (simulation: Simulation, operation: ControlOperation): ControlResult | undefined {
+  const requestId = simulation.request(operation)
   while (simulation.step());
   return simulation.replies.get(requestId)
 }
@@ -28,24 +28,24 @@
   }
 }
 
-function orderKinds (simulation: Simulation): string[] {
+function sentOrderKinds (simulation: Simulation): string[] {
   return simulation.messages.flatMap(message => message.kind === 'orders' ? message.effect.orders : [])
     .map(({ kind }: WorkerOrder) => kind)
 }
 
-function isPhase (simulation: Simulation, jobId: string, phase: string): boolean {
+function isInPhase (simulation: Simulation, jobId: string, phase: string): boolean {
   return simulation.state.job(jobId)?.phase === phase
 }
 
 test('a job sent twice at once is one job, and a shape that cannot be held never enters the log', t => {
-  const simulation = ready()
-  const ids = [1, 2].map(() => simulation.ask({ kind: 'submit_job', spec: job('j0') }))
+  const simulation = startedSimulation()
+  const ids = [1, 2].map(() => simulation.request({ kind: 'submit_job', spec: job('j0') }))
   while (simulation.step());
   t.deepEqual(ids.map(id => summary(simulation.replies.get(id)).slice(0, 3)), ['job', 'job'])
   t.is(simulation.committed.filter(({ kind }) => kind === 'place_job').length, 1)
-  t.is(summary(answerTo(simulation, { kind: 'submit_job', spec: job('j0', { tasks: 1 }) })), 'job_exists')
+  t.is(summary(requestResult(simulation, { kind: 'submit_job', spec: job('j0', { tasks: 1 }) })), 'job_exists')
   const impossible = { kind: 'submit_job', spec: job('j1', { acceleratorModel: 'none' }) } as const
-  t.is(summary(answerTo(simulation, impossible)), 'impossible_shape')
+  t.is(summary(requestResult(simulation, impossible)), 'impossible_shape')
   t.is(simulation.state.job('j1'), undefined)
 })
 
@@ -55,10 +55,10 @@
     { kind: 'claim_request', organisationId: 'o1', key: KEY, digest: 'd', claimantId: 'a' }
   ]
   const answersTo = (outcome: 'not_applied' | 'unknown'): string[] => operations.map(operation => {
-    const simulation = ready()
-    const requestId = simulation.ask(operation)
+    const simulation = startedSimulation()
+    const requestId = simulation.request(operation)
     for (const { proposalId } of simulation.proposals.splice(0)) {
-      simulation.feed({ kind: 'proposal_rejected', proposalId, outcome })
+      simulation.dispatch({ kind: 'proposal_rejected', proposalId, outcome })
     }
     return summary(simulation.replies.get(requestId))
   })
@@ -67,162 +67,162 @@
 })
 
 test('a leader that ends answers everything that waits, so no caller hangs', t => {
-  const simulation = ready()
-  simulation.ask({ kind: 'submit_job', spec: job('j0') })
-  simulation.ask({ kind: 'claim_request', organisationId: 'o1', key: KEY, digest: 'd', claimantId: 'a' })
+  const simulation = startedSimulation()
+  simulation.request({ kind: 'submit_job', spec: job('j0') })
+  simulation.request({ kind: 'claim_request', organisationId: 'o1', key: KEY, digest: 'd', claimantId: 'a' })
   const replies = simulation.leader.close(simulation.nowMs).filter(({ kind }) => kind === 'reply')
   t.is(replies.length, 2)
 })
 
 test('a claim is granted to one of two requests at once, and the other learns its state', t => {
-  const simulation = ready()
+  const simulation = startedSimulation()
   const claim = { kind: 'claim_request', organisationId: 'o1', key: KEY, digest: 'd', claimantId: 'a' } as const
-  const ids = ['a', 'b'].map(claimantId => simulation.ask({ ...claim, claimantId }))
+  const ids = ['a', 'b'].map(claimantId => simulation.request({ ...claim, claimantId }))
   while (simulation.step());
   t.deepEqual(ids.map(id => summary(simulation.replies.get(id))), ['granted', 'claim pending'])
   const settle = { kind: 'settle_claim', organisationId: 'o1', key: KEY, claimantId: 'a', state: 'not_run', answer: null } as const
-  t.is(summary(answerTo(simulation, settle)), 'done')
-  t.is(summary(answerTo(simulation, { kind: 'get_claim', organisationId: 'o1', key: KEY })), 'claim not_run')
-  t.is(summary(answerTo(simulation, { ...claim, claimantId: 'c' })), 'granted')
-  t.is(summary(answerTo(simulation, { ...claim, claimantId: 'b' })), 'claim pending')
+  t.is(summary(requestResult(simulation, settle)), 'done')
+  t.is(summary(requestResult(simulation, { kind: 'get_claim', organisationId: 'o1', key: KEY })), 'claim not_run')
+  t.is(summary(requestResult(simulation, { ...claim, claimantId: 'c' })), 'granted')
+  t.is(summary(requestResult(simulation, { ...claim, claimantId: 'b' })), 'claim pending')
 })
 
 test('a cancellation that races with the placement still ends the job before it starts', t => {
-  const simulation = ready()
-  simulation.ask({ kind: 'submit_job', spec: job('j0') })
+  const simulation = startedSimulation()
+  simulation.request({ kind: 'submit_job', spec: job('j0') })
   simulation.advance(10)
   simulation.commit()
   t.true(simulation.proposals.some(({ command }) => command.kind === 'place_job'))
-  const requestId = simulation.ask({ kind: 'cancel_job', jobId: 'j0' })
+  const requestId = simulation.request({ kind: 'cancel_job', jobId: 'j0' })
   while (simulation.step());
   t.is(summary(simulation.replies.get(requestId)), 'job stopping')
-  t.true(isPhase(simulation, 'j0', 'ended'))
-  t.is(simulation.record.executions.length, 0)
+  t.true(isInPhase(simulation, 'j0', 'ended'))
+  t.is(simulation.executionRecord.executions.length, 0)
   t.true(simulation.scheduler.calls.includes('ended j0'))
 })
 
 test('a job that the scheduler takes back before its placement is committed leaves its cells', t => {
-  const simulation = ready()
-  simulation.ask({ kind: 'submit_job', spec: job('j0') })
+  const simulation = startedSimulation()
+  simulation.request({ kind: 'submit_job', spec: job('j0') })
   t.is(simulation.proposals.at(-1)?.command.kind, 'place_job')
-  simulation.scheduler.extra.push({ kind: 'reclaim', jobId: 'j0', method: 'stop', forJobId: 'j1', reason: 'lent' })
-  simulation.ask({ kind: 'submit_job', spec: job('j1', { tasks: 9 }) })
+  simulation.scheduler.extraDecisions.push({ kind: 'reclaim', jobId: 'j0', method: 'stop', forJobId: 'j1', reason: 'lent' })
+  simulation.request({ kind: 'submit_job', spec: job('j1', { tasks: 9 }) })
   simulation.advance(10)
-  t.is(simulation.scheduler.extra.length, 0)
+  t.is(simulation.scheduler.extraDecisions.length, 0)
   while (simulation.step());
   t.true(simulation.scheduler.calls.includes('reclaimed j0'))
 })
 
 test('a placement that is taken for rejected and committed after all is followed, and no second one is made', t => {
-  const simulation = ready()
-  simulation.ask({ kind: 'submit_job', spec: job('j0') })
+  const simulation = startedSimulation()
+  simulation.request({ kind: 'submit_job', spec: job('j0') })
   simulation.commit()
   const [place] = simulation.proposals
-  simulation.feed({ kind: 'proposal_rejected', proposalId: place?.proposalId ?? '' })
+  simulation.dispatch({ kind: 'proposal_rejected', proposalId: place?.proposalId ?? '' })
   simulation.run(800)
   t.is(simulation.state.job('j0')?.outcome, 'completed')
-  t.is(simulation.record.executions.length, 2)
+  t.is(simulation.executionRecord.executions.length, 2)
   t.true(simulation.scheduler.calls.includes('restore j0'))
 })
 
 test('a checkpoint that does not end in time becomes a stop within the time to reclaim', t => {
-  const simulation = ready()
-  simulation.ask({ kind: 'submit_job', spec: job('j0', { tasks: 1, preemption: 'checkpoint' }) })
+  const simulation = startedSimulation()
+  simulation.request({ kind: 'submit_job', spec: job('j0', { tasks: 1, preemption: 'checkpoint' }) })
   while (simulation.step());
-  simulation.worker('w0').isCutOff = true
-  simulation.scheduler.extra.push({ kind: 'reclaim', jobId: 'j0', method: 'checkpoint', forJobId: 'j1', reason: 'lent' })
-  simulation.ask({ kind: 'submit_job', spec: job('j1', { tasks: 1 }) })
+  simulation.worker('w0').isPartitioned = true
+  simulation.scheduler.extraDecisions.push({ kind: 'reclaim', jobId: 'j0', method: 'checkpoint', forJobId: 'j1', reason: 'lent' })
+  simulation.request({ kind: 'submit_job', spec: job('j1', { tasks: 1 }) })
   simulation.advance(20)
   while (simulation.proposals.length > 0) simulation.commit()
-  t.deepEqual(orderKinds(simulation).filter(kind => kind !== 'prepare'), ['checkpoint'])
+  t.deepEqual(sentOrderKinds(simulation).filter(kind => kind !== 'prepare'), ['checkpoint'])
   simulation.messages.splice(0)
   simulation.advance(400)
-  t.true(orderKinds(simulation).includes('stop'))
+  t.true(sentOrderKinds(simulation).includes('stop'))
 })
 
 test('heartbeats that change nothing commit nothing but the proof of leadership', t => {
-  const simulation = ready()
+  const simulation = startedSimulation()
   const before = simulation.committed.length
   simulation.run(5_000)
   t.deepEqual(new Set(simulation.committed.slice(before).map(({ kind }) => kind)), new Set(['clock']))
 })
 
 test('a report is answered only once leadership is proven, and refused when it cannot be', t => {
-  const simulation = ready()
+  const simulation = startedSimulation()
   simulation.advance(1_000)
   simulation.proposals = []
   const report = simulation.worker('w0').report(simulation.nowMs)
-  const first = simulation.ask({ kind: 'report_worker', report })
+  const first = simulation.request({ kind: 'report_worker', report })
   t.is(simulation.replies.get(first), undefined)
   const proof = simulation.proposals.at(-1)
-  simulation.feed({ kind: 'proposal_rejected', proposalId: proof?.proposalId ?? '' })
+  simulation.dispatch({ kind: 'proposal_rejected', proposalId: proof?.proposalId ?? '' })
   t.is(summary(simulation.replies.get(first)), 'control_unavailable')
-  t.is(summary(answerTo(simulation, { kind: 'report_worker', report })), 'worker_lease')
+  t.is(summary(requestResult(simulation, { kind: 'report_worker', report })), 'worker_lease')
 })
 
 test('a report of an earlier process or of no listed worker gets no lease, and leftover tasks are to be stopped', t => {
-  const simulation = ready()
+  const simulation = startedSimulation()
   const report = simulation.worker('w0').report(simulation.nowMs)
   const leftover = { jobId: 'gone', taskIndex: 0, leaseId: 3, state: 'running' } as const
-  const result = answerTo(simulation, { kind: 'report_worker', report: { ...report, tasks: [leftover] } })
+  const result = requestResult(simulation, { kind: 'report_worker', report: { ...report, tasks: [leftover] } })
   t.like(result, { ok: true, value: { leaseMs: 1_000, stopTasks: [{ jobId: 'gone', taskIndex: 0, leaseId: 3 }] } })
   const old = { ...report, incarnation: 0 }
-  t.is(summary(answerTo(simulation, { kind: 'report_worker', report: old })), 'stale_term')
-  t.is(summary(answerTo(simulation, { kind: 'report_worker', report: { ...report, workerId: 'w9' } })), 'not_found')
+  t.is(summary(requestResult(simulation, { kind: 'report_worker', report: old })), 'stale_term')
+  t.is(summary(requestResult(simulation, { kind: 'report_worker', report: { ...report, workerId: 'w9' } })), 'not_found')
 })
 
 test('a job that fails on every worker ends as failed, and its failures reach the scheduler', t => {
-  const simulation = ready()
+  const simulation = startedSimulation()
   for (const worker of simulation.workers) worker.behaviour = 'fails'
-  simulation.ask({ kind: 'submit_job', spec: job('j0', { tasks: 1 }) })
+  simulation.request({ kind: 'submit_job', spec: job('j0', { tasks: 1 }) })
   simulation.run(5_000)
   t.is(simulation.state.job('j0')?.outcome, 'failed')
   t.is(simulation.scheduler.calls.filter(call => call.startsWith('taskFailed j0')).length, 6)
 })
 
 test('a worker that refuses everything does not hold up a gang that fits elsewhere', t => {
-  const simulation = ready()
+  const simulation = startedSimulation()
   simulation.worker('w0').behaviour = 'refuses'
-  simulation.ask({ kind: 'submit_job', spec: job('j0') })
+  simulation.request({ kind: 'submit_job', spec: job('j0') })
   simulation.run(800)
   t.is(simulation.state.job('j0')?.outcome, 'completed')
-  t.false(simulation.record.executions.some(({ workerId }) => workerId === 'w0'))
+  t.false(simulation.executionRecord.executions.some(({ workerId }) => workerId === 'w0'))
 })
 
 test('a worker that is drained or leaves gets no new tasks and keeps those that it has', t => {
-  const simulation = ready(2)
-  simulation.ask({ kind: 'submit_job', spec: job('j0') })
+  const simulation = startedSimulation(2)
+  simulation.request({ kind: 'submit_job', spec: job('j0') })
   while (simulation.step());
-  t.is(summary(answerTo(simulation, { kind: 'drain', drain: { kind: 'worker', id: 'w0' } })), 'done')
-  t.is(summary(answerTo(simulation, { kind: 'leave_worker', workerId: 'w1' })), 'done')
-  simulation.ask({ kind: 'submit_job', spec: job('j1', { tasks: 1 }) })
+  t.is(summary(requestResult(simulation, { kind: 'drain', drain: { kind: 'worker', id: 'w0' } })), 'done')
+  t.is(summary(requestResult(simulation, { kind: 'leave_worker', workerId: 'w1' })), 'done')
+  simulation.request({ kind: 'submit_job', spec: job('j1', { tasks: 1 }) })
   simulation.run(1_000)
   t.is(simulation.state.job('j0')?.outcome, 'completed')
-  t.true(isPhase(simulation, 'j1', 'waiting'))
+  t.true(isInPhase(simulation, 'j1', 'waiting'))
   t.is(simulation.committed.filter(({ kind }) => kind === 'place_job').length, 1)
-  t.is(summary(answerTo(simulation, { kind: 'undrain', drain: { kind: 'worker', id: 'w0' } })), 'done')
+  t.is(summary(requestResult(simulation, { kind: 'undrain', drain: { kind: 'worker', id: 'w0' } })), 'done')
   simulation.run(1_000)
   t.is(simulation.state.job('j1')?.outcome, 'completed')
 })
 
 test('a worker that leaves the inventory gives up its gang in order, and is forgotten once its cells are free', t => {
-  const simulation = ready()
+  const simulation = startedSimulation()
   simulation.workers.forEach(worker => { worker.runMs = 900 })
-  simulation.ask({ kind: 'submit_job', spec: job('j0') })
+  simulation.request({ kind: 'submit_job', spec: job('j0') })
   while (simulation.step());
   const change = { version: 2, baseVersion: 1, upserts: [], removes: [{ kind: 'worker' as const, id: 'w0' }] }
-  t.is(summary(answerTo(simulation, { kind: 'apply_change', change, isDryRun: true })), 'configuration_accepted')
+  t.is(summary(requestResult(simulation, { kind: 'apply_change', change, isDryRun: true })), 'configuration_accepted')
   t.is(simulation.state.configuration.version, 1)
-  t.is(summary(answerTo(simulation, { kind: 'apply_change', change, isDryRun: false })), 'configuration_accepted')
-  t.is(summary(answerTo(simulation, { kind: 'apply_change', change, isDryRun: false })), 'configuration_accepted')
+  t.is(summary(requestResult(simulation, { kind: 'apply_change', change, isDryRun: false })), 'configuration_accepted')
+  t.is(summary(requestResult(simulation, { kind: 'apply_change', change, isDryRun: false })), 'configuration_accepted')
   simulation.run(2_000)
   t.is(simulation.state.worker('w0'), undefined)
   t.is(simulation.state.job('j0')?.outcome, 'completed')
-  t.is(simulation.record.executions.filter(({ workerId }) => workerId === 'w0').length, 1)
+  t.is(simulation.executionRecord.executions.filter(({ workerId }) => workerId === 'w0').length, 1)
 })
 
 test('of two operators with one version one wins at once, and both get the same answers again', t => {
-  const simulation = ready()
+  const simulation = startedSimulation()
   const changeTo = (quotaAccelerators: number) => ({
     kind: 'apply_change' as const,
     isDryRun: false,
@@ -233,75 +233,75 @@
       removes: []
     }
   })
-  const ids = [5, 6].map(quota => simulation.ask(changeTo(quota)))
+  const ids = [5, 6].map(quota => simulation.request(changeTo(quota)))
   simulation.commitAll()
   const answers = ids.map(id => summary(simulation.replies.get(id)))
   t.deepEqual(answers, ['configuration_accepted', 'version_conflict'])
-  t.deepEqual([5, 6].map(quota => summary(answerTo(simulation, changeTo(quota)))), answers)
+  t.deepEqual([5, 6].map(quota => summary(requestResult(simulation, changeTo(quota)))), answers)
   t.is(simulation.state.configuration.organisations.get('o1')?.quotaAccelerators, 5)
 })
 
 test('reads show jobs by phase and organisation, workers, drains and the configuration', t => {
-  const simulation = ready()
-  simulation.ask({ kind: 'submit_job', spec: job('j0', { tasks: 9 }) })
-  simulation.ask({ kind: 'submit_job', spec: job('j1') })
+  const simulation = startedSimulation()
+  simulation.request({ kind: 'submit_job', spec: job('j0', { tasks: 9 }) })
+  simulation.request({ kind: 'submit_job', spec: job('j1') })
   simulation.run(100)
-  const list = answerTo(simulation, { kind: 'list_jobs', phase: 'waiting', organisationId: 'o1', limit: 5 })
+  const list = requestResult(simulation, { kind: 'list_jobs', phase: 'waiting', organisationId: 'o1', limit: 5 })
   t.like(list, { ok: true, value: { total: 1, jobs: [{ spec: { jobId: 'j0' } }] } })
-  t.like(answerTo(simulation, { kind: 'list_jobs', limit: 1 }), { ok: true, value: { total: 2 } })
-  t.is(summary(answerTo(simulation, { kind: 'explain_job', jobId: 'j0' })), 'explanation')
-  t.is(summary(answerTo(simulation, { kind: 'get_job', jobId: 'j9' })), 'not_found')
-  t.like(answerTo(simulation, { kind: 'get_fleet' }), { ok: true, value: { workers: [{ workerId: 'w0', tasks: 1 }] } })
-  t.like(answerTo(simulation, { kind: 'get_configuration' }), { ok: true, value: { version: 1 } })
-  t.like(answerTo(simulation, { kind: 'get_configuration_status' }), { ok: true, value: { status: { version: 1 } } })
+  t.like(requestResult(simulation, { kind: 'list_jobs', limit: 1 }), { ok: true, value: { total: 2 } })
+  t.is(summary(requestResult(simulation, { kind: 'explain_job', jobId: 'j0' })), 'explanation')
+  t.is(summary(requestResult(simulation, { kind: 'get_job', jobId: 'j9' })), 'not_found')
+  t.like(requestResult(simulation, { kind: 'get_fleet' }), { ok: true, value: { workers: [{ workerId: 'w0', tasks: 1 }] } })
+  t.like(requestResult(simulation, { kind: 'get_configuration' }), { ok: true, value: { version: 1 } })
+  t.like(requestResult(simulation, { kind: 'get_configuration_status' }), { ok: true, value: { status: { version: 1 } } })
 })
 
 /** Walks over all jobs that it knows at each cancellation. */
-class WalkingScheduler extends FakeScheduler {
-  readonly #seen = new Set<string>()
+class LinearScanScheduler extends FakeScheduler {
+  readonly #jobIds = new Set<string>()
 
   override submit (...args: Parameters<FakeScheduler['submit']>): ReturnType<FakeScheduler['submit']> {
-    this.#seen.add(args[0].jobId)
+    this.#jobIds.add(args[0].jobId)
     return super.submit(...args)
   }
 
   override cancel (jobId: string): void {
     super.cancel(jobId)
-    this.#seen.forEach(() => this.#seen.has(jobId))
-    this.#seen.delete(jobId)
+    this.#jobIds.forEach(() => this.#jobIds.has(jobId))
+    this.#jobIds.delete(jobId)
   }
 }
 
 /** Steps of cancelling `count` waiting jobs that arrive together. */
-function costOfWave (count: number, scheduler: FakeScheduler): number {
+function cancellationCost (count: number, scheduler: FakeScheduler): number {
   const simulation = new Simulation({ scheduler })
   for (let number = 0; number < count; number += 1) {
-    simulation.ask({ kind: 'submit_job', spec: job(`j${number}`, { tasks: 60 }) })
+    simulation.request({ kind: 'submit_job', spec: job(`j${number}`, { tasks: 60 }) })
   }
   // One pass of the fake scheduler looks at every waiting job, so the wave gets none between its cancellations.
   simulation.commitAll()
   const operations = countOperations(() => {
-    for (let number = 0; number < count; number += 1) simulation.ask({ kind: 'cancel_job', jobId: `j${number}` })
+    for (let number = 0; number < count; number += 1) simulation.request({ kind: 'cancel_job', jobId: `j${number}` })
     simulation.commitAll()
   })
   if (simulation.state.jobIdsInPhase('ended').size !== count) throw new Error('not every job was cancelled')
   return operations
 }
 
-const LINEAR_RATIO = 1.15
+const LINEAR_TOLERANCE = 1.15
 
 test('a wave of 10,000 cancellations costs no more for each job than one of 2,500', t => {
-  const ratio = costOfWave(10_000, new FakeScheduler()) / costOfWave(2_500, new FakeScheduler())
-  t.true(ratio < 4 * LINEAR_RATIO, `${ratio}`)
+  const ratio = cancellationCost(10_000, new FakeScheduler()) / cancellationCost(2_500, new FakeScheduler())
+  t.true(ratio < 4 * LINEAR_TOLERANCE, `${ratio}`)
 })
 
 test('the count of operations notices a scheduler that walks over all jobs at each cancellation', t => {
-  const ratio = costOfWave(1_000, new WalkingScheduler()) / costOfWave(250, new WalkingScheduler())
-  t.true(ratio > 4 * LINEAR_RATIO, `${ratio}`)
+  const ratio = cancellationCost(1_000, new LinearScanScheduler()) / cancellationCost(250, new LinearScanScheduler())
+  t.true(ratio > 4 * LINEAR_TOLERANCE, `${ratio}`)
 })
 
 test('a leader asks to be woken at its next deadline and not before', t => {
-  const simulation = ready()
+  const simulation = startedSimulation()
   t.true(simulation.leader.nextWakeAtMs() > simulation.nowMs)
   t.true(simulation.leader instanceof ControlLeader)
 })
--- a/packages/control/test/operation-counter.ts
+++ b/packages/control/test/operation-counter.ts
@@ -5,31 +5,31 @@
 const MAP_METHODS = ['get', 'set', 'has', 'delete']
 const SET_METHODS = ['add', 'has', 'delete']
 /** Each of these visits the whole array. */
-const ARRAY_WALKS = ['map', 'filter', 'some', 'every', 'find', 'slice', 'splice', 'sort', 'includes', 'flatMap']
+const ARRAY_METHODS = ['map', 'filter', 'some', 'every', 'find', 'slice', 'splice', 'sort', 'includes', 'flatMap']
 
 /** Runs `work` and gives the number of steps that it took in maps, sets, arrays and their iterators. */
-export function countOperations (work: () => void): number {
+export function countOperations (action: () => void): number {
   let operations = 0
   const restores = [
-    ...MAP_METHODS.map(name => patch(Map.prototype, name, () => { operations += 1 })),
-    ...SET_METHODS.map(name => patch(Set.prototype, name, () => { operations += 1 })),
-    ...ARRAY_WALKS.map(name => patch(Array.prototype, name, self => { operations += (self as unknown[]).length })),
+    ...MAP_METHODS.map(name => spy(Map.prototype, name, () => { operations += 1 })),
+    ...SET_METHODS.map(name => spy(Set.prototype, name, () => { operations += 1 })),
+    ...ARRAY_METHODS.map(name => spy(Array.prototype, name, self => { operations += (self as unknown[]).length })),
     ...[new Map().values(), new Set().values(), [].values()].map(iterator =>
-      patch(Object.getPrototypeOf(iterator) as object, 'next', () => { operations += 1 }))
+      spy(Object.getPrototypeOf(iterator) as object, 'next', () => { operations += 1 }))
   ]
   try {
-    work()
+    action()
   } finally {
     for (const restore of restores) restore()
   }
   return operations
 }
 
-function patch (target: object, name: string, count: (self: unknown) => void): () => void {
+function spy (target: object, name: string, onCall: (self: unknown) => void): () => void {
   const original = Reflect.get(target, name) as Method
   const descriptor = Object.getOwnPropertyDescriptor(target, name) ?? {}
   const counted = function (this: unknown, ...args: unknown[]): unknown {
-    count(this)
+    onCall(this)
     return original.apply(this, args)
   }
   Object.defineProperty(target, name, { ...descriptor, value: counted })
