--- a/packages/control/test/simulation.ts
+++ b/packages/control/test/simulation.ts
@@ -29,9 +29,9 @@
 
 export const stateOptions = { settings: defaultControlStateSettings, validator: new FakeValidator() }
 /** Voters elect no leader for longer than a committed proposal proves leadership. */
-const ELECTION_MS = testSettings.leadershipValidMs + 1
+const ELECTION_TIMEOUT_MS = testSettings.leadershipValidMs + 1
 const REPORT_INTERVAL_MS = 100
-const ACCELERATORS = 4
+const ACCELERATORS_PER_WORKER = 4
 
 type SendOrders = Extract<ControlEffect, { kind: 'send_orders' }>
 
@@ -52,7 +52,7 @@
   readonly workers?: number
   readonly scheduler?: FakeScheduler
   /** Changes messages on the way, to show that a checker notices. */
-  readonly tamper?: (message: Message) => Message
+  readonly intercept?: (message: Message) => Message
 }
 
 export function job (jobId: string, changes: Partial<JobSpec> = {}): JobSpec {
@@ -83,7 +83,7 @@
       cores: 64,
       memoryGb: 256,
       acceleratorModel: 'gpu',
-      accelerators: ACCELERATORS
+      accelerators: ACCELERATORS_PER_WORKER
     })),
     organisations: [{ organisationId: 'o1', quotaAccelerators: 100, weight: 1 }],
     guarantees: [],
@@ -93,7 +93,7 @@
 
 export class Simulation {
   readonly state = new ControlState(stateOptions)
-  readonly record = new ExecutionRecord()
+  readonly executionRecord = new ExecutionRecord()
   readonly workers: FakeWorker[]
   readonly replies = new Map<string, ControlResult>()
   readonly committed: ControlCommand[] = []
@@ -105,23 +105,23 @@
   formerLeader: ControlLeader | undefined
   nowMs = 0
   readonly #settings: ControlSettings
-  readonly #tamper: (message: Message) => Message
-  readonly #reports = new Map<string, { readonly report: WorkerReport, readonly sentMs: number }>()
+  readonly #intercept: (message: Message) => Message
+  readonly #pendingReports = new Map<string, { readonly report: WorkerReport, readonly sentMs: number }>()
   #term = 1
   #index = 0
-  #requests = 0
+  #requestCount = 0
 
   constructor (options: SimulationOptions = {}) {
-    const { settings = {}, workers = 3, scheduler = new FakeScheduler(), tamper = message => message } = options
+    const { settings = {}, workers = 3, scheduler = new FakeScheduler(), intercept = message => message } = options
     this.scheduler = scheduler
     this.#settings = { ...testSettings, ...settings }
-    this.#tamper = tamper
+    this.#intercept = intercept
     const rates = [1, 0.991, 1.009]
     this.workers = inventory(workers).workers.map(({ workerId }, position) =>
-      new FakeWorker(workerId, rates[position % rates.length] ?? 1, this.record))
+      new FakeWorker(workerId, rates[position % rates.length] ?? 1, this.executionRecord))
     this.#apply({ kind: 'apply_configuration', change: diffDocument(emptyConfiguration(), inventory(workers)) })
     this.leader = this.#newLeader()
-    this.feed({ kind: 'tick' })
+    this.dispatch({ kind: 'tick' })
   }
 
   worker (workerId: string): FakeWorker {
@@ -131,16 +131,16 @@
   }
 
   /** Gives the leader an event and takes in its effects. */
-  feed (event: ControlEvent, leader = this.leader): void {
+  dispatch (event: ControlEvent, leader = this.leader): void {
     const effects = leader.handle(event, this.nowMs)
     // What a former leader proposes is never committed; its orders and answers still arrive.
-    this.#perform(effects, leader === this.leader)
+    this.#applyEffects(effects, leader === this.leader)
   }
 
-  ask (operation: ControlOperation): string {
-    this.#requests += 1
-    const requestId = `q${this.#requests}`
-    this.feed({ kind: 'operation', requestId, operation })
+  request (operation: ControlOperation): string {
+    this.#requestCount += 1
+    const requestId = `q${this.#requestCount}`
+    this.dispatch({ kind: 'operation', requestId, operation })
     return requestId
   }
 
@@ -149,7 +149,7 @@
     if (proposal === undefined) return
     const { command, proposalId } = proposal
     const result = this.#apply(command)
-    this.feed({ kind: 'applied', proposalId, index: this.#index, command, result })
+    this.dispatch({ kind: 'applied', proposalId, index: this.#index, command, result })
   }
 
   /** Commits everything that is proposed, and what follows from it. */
@@ -158,15 +158,15 @@
   }
 
   /** Delivers a message; with `isKept` it stays on its way and arrives again. */
-  deliver (position: number, isKept = false, isToFormer = false): void {
+  deliver (position: number, isDuplicated = false, isToFormerLeader = false): void {
     const message = this.messages[position]
     if (message === undefined) return
-    if (!isKept) this.messages.splice(position, 1)
-    if (this.#isCutOff(message)) return
-    const leader = isToFormer ? this.formerLeader ?? this.leader : this.leader
+    if (!isDuplicated) this.messages.splice(position, 1)
+    if (this.#isPartitioned(message)) return
+    const leader = isToFormerLeader ? this.formerLeader ?? this.leader : this.leader
     switch (message.kind) {
       case 'orders': this.#deliverOrders(message.effect); break
-      case 'answer': this.feed({ kind: 'orders_answered', orderId: message.orderId, results: message.results }, leader); break
+      case 'answer': this.dispatch({ kind: 'orders_answered', orderId: message.orderId, results: message.results }, leader); break
       case 'report': this.#deliverReport(message, leader); break
       case 'lease': this.#deliverLease(message); break
     }
@@ -188,20 +188,20 @@
       const wakeMs = Math.max(this.leader.nextWakeAtMs(), this.nowMs + 1)
       this.nowMs = Math.min(endMs, wakeMs)
       for (const worker of this.workers) worker.advance(this.nowMs)
-      this.feed({ kind: 'tick' })
+      this.dispatch({ kind: 'tick' })
     }
   }
 
   /** Elects a new leader: the first `keptProposals` in flight are still committed, the others are lost. */
-  replaceLeader (keptProposals = 0): void {
-    for (const { command } of this.proposals.splice(0, keptProposals)) this.#apply(command)
+  replaceLeader (committedCount = 0): void {
+    for (const { command } of this.proposals.splice(0, committedCount)) this.#apply(command)
     this.proposals = []
-    this.#advanceWithoutLeader(ELECTION_MS)
+    this.#advanceWithoutLeader(ELECTION_TIMEOUT_MS)
     this.formerLeader = this.leader
     this.#term += 1
     this.scheduler = new FakeScheduler()
     this.leader = this.#newLeader()
-    this.feed({ kind: 'tick' })
+    this.dispatch({ kind: 'tick' })
   }
 
   #advanceWithoutLeader (elapsedMs: number): void {
@@ -230,13 +230,13 @@
   }
 
   /** Ends all faults and runs until every job has ended or `limitMs` have passed. */
-  heal (limitMs = 60_000): void {
+  recover (limitMs = 60_000): void {
     this.formerLeader = undefined
     for (const worker of this.workers) {
       worker.behaviour = 'works'
-      worker.isCutOff = false
+      worker.isPartitioned = false
       worker.resume(this.nowMs)
-      if (worker.isDead) worker.restart(this.nowMs)
+      if (worker.isCrashed) worker.restart(this.nowMs)
     }
     const endMs = this.nowMs + limitMs
     this.run(500)
@@ -260,30 +260,30 @@
     })
   }
 
-  #perform (effects: readonly ControlEffect[], isLeading: boolean): void {
+  #applyEffects (effects: readonly ControlEffect[], isCurrentLeader: boolean): void {
     for (const effect of effects) {
       if (effect.kind === 'send_orders') this.#send({ kind: 'orders', effect })
       else if (effect.kind === 'reply') this.#reply(effect.requestId, effect.result)
-      else if (isLeading) this.proposals.push(effect)
+      else if (isCurrentLeader) this.proposals.push(effect)
     }
   }
 
   #send (message: Message): void {
-    this.messages.push(this.#tamper(message))
+    this.messages.push(this.#intercept(message))
   }
 
   #reply (requestId: string, result: ControlResult): void {
-    const waiting = this.#reports.get(requestId)
-    this.#reports.delete(requestId)
-    if (waiting === undefined) this.replies.set(requestId, result)
-    else this.#send({ kind: 'lease', ...waiting, result })
+    const pending = this.#pendingReports.get(requestId)
+    this.#pendingReports.delete(requestId)
+    if (pending === undefined) this.replies.set(requestId, result)
+    else this.#send({ kind: 'lease', ...pending, result })
   }
 
-  #isCutOff (message: Message): boolean {
+  #isPartitioned (message: Message): boolean {
     switch (message.kind) {
-      case 'orders': return this.worker(message.effect.workerId).isCutOff
-      case 'answer': return this.worker(message.workerId).isCutOff
-      default: return this.worker(message.report.workerId).isCutOff
+      case 'orders': return this.worker(message.effect.workerId).isPartitioned
+      case 'answer': return this.worker(message.workerId).isPartitioned
+      default: return this.worker(message.report.workerId).isPartitioned
     }
   }
 
@@ -294,10 +294,10 @@
   }
 
   #deliverReport ({ report, sentMs }: Extract<Message, { kind: 'report' }>, leader: ControlLeader): void {
-    this.#requests += 1
-    const requestId = `r${this.#requests}`
-    this.#reports.set(requestId, { report, sentMs })
-    this.feed({ kind: 'operation', requestId, operation: { kind: 'report_worker', report } }, leader)
+    this.#requestCount += 1
+    const requestId = `r${this.#requestCount}`
+    this.#pendingReports.set(requestId, { report, sentMs })
+    this.dispatch({ kind: 'operation', requestId, operation: { kind: 'report_worker', report } }, leader)
   }
 
   #deliverLease ({ report, sentMs, result }: Extract<Message, { kind: 'lease' }>): void {
--- a/packages/control/test/state.test.ts
+++ b/packages/control/test/state.test.ts
@@ -26,7 +26,7 @@
 const START_MS = 1_700_000_000_000
 
 /** Applies commands at rising positions. */
-class Log {
+class CommandLog {
   state = new ControlState(options)
   index = 0
   logTimeMs = START_MS
@@ -37,14 +37,14 @@
   }
 }
 
-function configured (): Log {
-  const log = new Log()
+function configuredLog (): CommandLog {
+  const log = new CommandLog()
   log.apply({ kind: 'apply_configuration', change: diffDocument(emptyConfiguration(), inventory(3)) })
   return log
 }
 
-function withJob (): Log {
-  const log = configured()
+function logWithJob (): CommandLog {
+  const log = configuredLog()
   for (const workerId of ['w0', 'w1', 'w2']) log.apply(workerState(workerId, 'active', 1))
   log.apply({ kind: 'submit_job', spec: job('j0') })
   return log
@@ -64,77 +64,77 @@
   return `${time.slice(0, 8)}-${time.slice(8)}-7000-8000-${number.toString(16).padStart(12, '0')}`
 }
 
-let claimants = 0
+let claimantCount = 0
 
 /** A claim by a request of its own; every call is another one. */
 function claim (key: string, digest = 'd1', organisationId = 'o1'): ControlCommand {
-  return { kind: 'claim_request', organisationId, key, digest, claimantId: `request-${claimants++}` }
+  return { kind: 'claim_request', organisationId, key, digest, claimantId: `request-${claimantCount++}` }
 }
 
 /** A settlement by the request that holds the claim. */
-function settle (log: Log, key: string, state: 'completed' | 'not_run' | 'unknown', bytes = 0): ControlCommand {
+function settle (log: CommandLog, key: string, state: 'completed' | 'not_run' | 'unknown', bytes = 0): ControlCommand {
   const claimantId = log.state.claim('o1', key)?.claimantId ?? ''
   const answer = bytes === 0 ? null : { status: 200, contentType: 'text/plain', body: new Uint8Array(bytes) }
   return { kind: 'settle_claim', organisationId: 'o1', key, claimantId, state, answer }
 }
 
-function kindOf (result: ReturnType<ControlState['apply']>): string {
+function resultKind (result: ReturnType<ControlState['apply']>): string {
   if (result.kind === 'claimed') return result.granted ? 'granted' : 'known'
   return result.kind === 'refused' ? result.failure.kind : result.kind
 }
 
 test('a late or doubled life cycle command is refused, so that an old lease never changes a newer placement', t => {
-  const log = withJob()
-  t.is(kindOf(log.apply(place('j0', ['w0', 'w1']))), 'done')
+  const log = logWithJob()
+  t.is(resultKind(log.apply(place('j0', ['w0', 'w1']))), 'done')
   const leaseId = log.index
-  t.is(kindOf(log.apply(place('j0', ['w1', 'w2']))), 'stale_term')
-  t.is(kindOf(log.apply({ kind: 'start_job', jobId: 'j0', leaseId: leaseId - 1 })), 'stale_term')
-  t.is(kindOf(log.apply({ kind: 'start_job', jobId: 'j0', leaseId })), 'done')
-  t.is(kindOf(log.apply({ kind: 'start_job', jobId: 'j0', leaseId })), 'stale_term')
-  t.is(kindOf(log.apply({ kind: 'requeue_job', jobId: 'j0', leaseId, reason: '' })), 'stale_term')
-  t.is(kindOf(log.apply({ kind: 'end_job', jobId: 'j0', leaseId, outcome: 'cancelled', reason: '' })), 'stale_term')
+  t.is(resultKind(log.apply(place('j0', ['w1', 'w2']))), 'stale_term')
+  t.is(resultKind(log.apply({ kind: 'start_job', jobId: 'j0', leaseId: leaseId - 1 })), 'stale_term')
+  t.is(resultKind(log.apply({ kind: 'start_job', jobId: 'j0', leaseId })), 'done')
+  t.is(resultKind(log.apply({ kind: 'start_job', jobId: 'j0', leaseId })), 'stale_term')
+  t.is(resultKind(log.apply({ kind: 'requeue_job', jobId: 'j0', leaseId, reason: '' })), 'stale_term')
+  t.is(resultKind(log.apply({ kind: 'end_job', jobId: 'j0', leaseId, outcome: 'cancelled', reason: '' })), 'stale_term')
   t.is(log.state.job('j0')?.starts, 1)
 })
 
 test('a placement on held cells, a lost, drained or unknown worker, or of part of a gang is refused', t => {
-  const log = withJob()
+  const log = logWithJob()
   log.apply({ kind: 'submit_job', spec: job('j1') })
   log.apply(place('j0', ['w0', 'w1']))
-  t.is(kindOf(log.apply(place('j1', ['w1', 'w2']))), 'invalid_request')
-  t.is(kindOf(log.apply(place('j1', ['w2']))), 'invalid_request')
-  t.is(kindOf(log.apply(place('j1', ['w2', 'w2']))), 'invalid_request')
-  t.is(kindOf(log.apply(place('j1', ['w2', 'w9']))), 'invalid_request')
-  t.is(kindOf(log.apply(place('j1', ['w2', 'w2'], 2))), 'invalid_request')
+  t.is(resultKind(log.apply(place('j1', ['w1', 'w2']))), 'invalid_request')
+  t.is(resultKind(log.apply(place('j1', ['w2']))), 'invalid_request')
+  t.is(resultKind(log.apply(place('j1', ['w2', 'w2']))), 'invalid_request')
+  t.is(resultKind(log.apply(place('j1', ['w2', 'w9']))), 'invalid_request')
+  t.is(resultKind(log.apply(place('j1', ['w2', 'w2'], 2))), 'invalid_request')
   log.apply(workerState('w2', 'lost', 1))
   log.apply({ kind: 'submit_job', spec: job('j2', { tasks: 1 }) })
-  t.is(kindOf(log.apply(place('j2', ['w2']))), 'invalid_request')
+  t.is(resultKind(log.apply(place('j2', ['w2']))), 'invalid_request')
   log.apply(workerState('w2', 'active', 1))
   log.apply({ kind: 'set_drain', drain: { kind: 'worker', id: 'w2' }, isDraining: true })
-  t.is(kindOf(log.apply(place('j2', ['w2']))), 'invalid_request')
+  t.is(resultKind(log.apply(place('j2', ['w2']))), 'invalid_request')
   log.apply({ kind: 'set_drain', drain: { kind: 'worker', id: 'w2' }, isDraining: false })
-  t.is(kindOf(log.apply(place('j2', ['w2']))), 'done')
+  t.is(resultKind(log.apply(place('j2', ['w2']))), 'done')
 })
 
 test('a started job that may run once cannot be requeued, and a cancellation overrides a requeue but never the reverse', t => {
-  const log = withJob()
+  const log = logWithJob()
   log.apply({ kind: 'submit_job', spec: job('once', { preemption: 'none', tasks: 1 }) })
   log.apply(place('once', ['w2']))
   const leaseId = log.index
   log.apply({ kind: 'start_job', jobId: 'once', leaseId })
   const stop = { kind: 'stop_job', jobId: 'once', leaseId, reason: '', isCheckpoint: false } as const
-  t.is(kindOf(log.apply({ ...stop, then: 'requeue' })), 'invalid_request')
-  t.is(kindOf(log.apply({ ...stop, then: 'failed' })), 'done')
-  t.is(kindOf(log.apply({ ...stop, then: 'cancelled' })), 'stale_term')
+  t.is(resultKind(log.apply({ ...stop, then: 'requeue' })), 'invalid_request')
+  t.is(resultKind(log.apply({ ...stop, then: 'failed' })), 'done')
+  t.is(resultKind(log.apply({ ...stop, then: 'cancelled' })), 'stale_term')
   log.apply(place('j0', ['w0', 'w1']))
   const other = { ...stop, jobId: 'j0', leaseId: log.index }
-  t.is(kindOf(log.apply({ ...other, then: 'requeue' })), 'done')
-  t.is(kindOf(log.apply({ ...other, then: 'cancelled' })), 'done')
-  t.is(kindOf(log.apply({ ...other, then: 'requeue' })), 'stale_term')
-  t.is(kindOf(log.apply({ kind: 'requeue_job', jobId: 'j0', leaseId: other.leaseId, reason: '' })), 'stale_term')
+  t.is(resultKind(log.apply({ ...other, then: 'requeue' })), 'done')
+  t.is(resultKind(log.apply({ ...other, then: 'cancelled' })), 'done')
+  t.is(resultKind(log.apply({ ...other, then: 'requeue' })), 'stale_term')
+  t.is(resultKind(log.apply({ kind: 'requeue_job', jobId: 'j0', leaseId: other.leaseId, reason: '' })), 'stale_term')
 })
 
 test('ended jobs are kept for a bounded time and count, and open ones for as long as they are open', t => {
-  const log = withJob()
+  const log = logWithJob()
   for (let number = 1; number <= 5; number += 1) {
     log.apply({ kind: 'submit_job', spec: job(`j${number}`) })
     log.apply({ kind: 'end_job', jobId: `j${number}`, leaseId: 0, outcome: 'cancelled', reason: '' })
@@ -146,36 +146,36 @@
 })
 
 test('the same job twice is one job whatever the order of its fields, and other content is refused', t => {
-  const log = withJob()
+  const log = logWithJob()
   const reordered = Object.fromEntries(Object.entries(job('j0')).reverse()) as ReturnType<typeof job>
-  t.is(kindOf(log.apply({ kind: 'submit_job', spec: reordered })), 'done')
-  t.is(kindOf(log.apply({ kind: 'submit_job', spec: job('j0', { tasks: 1 }) })), 'job_exists')
+  t.is(resultKind(log.apply({ kind: 'submit_job', spec: reordered })), 'done')
+  t.is(resultKind(log.apply({ kind: 'submit_job', spec: job('j0', { tasks: 1 }) })), 'job_exists')
   t.is([...log.state.jobs()].length, 1)
 })
 
 test('only a UUID of version 7 with the right variant is a key, and both spellings name one claim', t => {
-  const log = configured()
+  const log = configuredLog()
   const key = keyAt(START_MS, 0xab)
-  t.is(kindOf(log.apply(claim(key))), 'granted')
-  t.is(kindOf(log.apply(claim(key.toUpperCase()))), 'known')
-  t.is(kindOf(log.apply(claim(key, 'other'))), 'key_reused')
-  t.is(kindOf(log.apply(claim(key.replace('-7', '-4')))), 'key_invalid')
-  t.is(kindOf(log.apply(claim(key.replace('-8', '-c')))), 'key_invalid')
-  t.is(kindOf(log.apply(claim(key + '0'))), 'key_invalid')
-  t.is(kindOf(log.apply(claim(keyAt(START_MS + 2 * HOUR_MS)))), 'key_invalid')
-  t.is(kindOf(log.apply(claim(keyAt(START_MS - HOUR_MS)))), 'key_expired')
-  t.is(kindOf(log.apply(claim(keyAt(START_MS), 'd1', 'nobody'))), 'unknown_organisation')
+  t.is(resultKind(log.apply(claim(key))), 'granted')
+  t.is(resultKind(log.apply(claim(key.toUpperCase()))), 'known')
+  t.is(resultKind(log.apply(claim(key, 'other'))), 'key_reused')
+  t.is(resultKind(log.apply(claim(key.replace('-7', '-4')))), 'key_invalid')
+  t.is(resultKind(log.apply(claim(key.replace('-8', '-c')))), 'key_invalid')
+  t.is(resultKind(log.apply(claim(key + '0'))), 'key_invalid')
+  t.is(resultKind(log.apply(claim(keyAt(START_MS + 2 * HOUR_MS)))), 'key_invalid')
+  t.is(resultKind(log.apply(claim(keyAt(START_MS - HOUR_MS)))), 'key_expired')
+  t.is(resultKind(log.apply(claim(keyAt(START_MS), 'd1', 'nobody'))), 'unknown_organisation')
 })
 
 test('claims above the bound of an organisation are refused, and those that exist are still answered', t => {
-  const log = configured()
-  for (let number = 0; number < 8; number += 1) t.is(kindOf(log.apply(claim(keyAt(START_MS, number)))), 'granted')
-  t.is(kindOf(log.apply(claim(keyAt(START_MS, 8)))), 'quota_exceeded')
-  t.is(kindOf(log.apply(claim(keyAt(START_MS, 7)))), 'known')
+  const log = configuredLog()
+  for (let number = 0; number < 8; number += 1) t.is(resultKind(log.apply(claim(keyAt(START_MS, number)))), 'granted')
+  t.is(resultKind(log.apply(claim(keyAt(START_MS, 8)))), 'quota_exceeded')
+  t.is(resultKind(log.apply(claim(keyAt(START_MS, 7)))), 'known')
 })
 
 test('recorded answers are bounded one by one and in total, and a dropped answer leaves the claim completed', t => {
-  const log = configured()
+  const log = configuredLog()
   const keys = [0, 1, 2, 3].map(number => keyAt(START_MS, number))
   keys.forEach((key, number) => {
     log.apply(claim(key))
@@ -187,21 +187,21 @@
 })
 
 test('a settled claim stays as it is, so a late settlement changes no answer', t => {
-  const log = configured()
+  const log = configuredLog()
   const key = keyAt(START_MS)
   log.apply(claim(key))
-  t.is(kindOf(log.apply(settle(log, key, 'unknown'))), 'done')
-  t.is(kindOf(log.apply(settle(log, key, 'completed', 4))), 'done')
-  t.is(kindOf(log.apply(settle(log, key, 'unknown'))), 'done')
-  t.is(kindOf(log.apply(settle(log, key, 'not_run'))), 'invalid_request')
+  t.is(resultKind(log.apply(settle(log, key, 'unknown'))), 'done')
+  t.is(resultKind(log.apply(settle(log, key, 'completed', 4))), 'done')
+  t.is(resultKind(log.apply(settle(log, key, 'unknown'))), 'done')
+  t.is(resultKind(log.apply(settle(log, key, 'not_run'))), 'invalid_request')
   t.is(log.state.claim('o1', key)?.state, 'completed')
 })
 
-type Tamper = (snapshot: ControlSnapshot) => ControlSnapshot
-const keep: Tamper = snapshot => snapshot
+type Transform = (snapshot: ControlSnapshot) => ControlSnapshot
+const unchanged: Transform = snapshot => snapshot
 
 test('a claim that nobody settles within the longest deadline is shown as unknown, and can still be settled', t => {
-  const log = configured()
+  const log = configuredLog()
   const key = keyAt(START_MS)
   log.apply(claim(key))
   t.is(log.state.claimView('o1', key)?.state, 'pending')
@@ -212,24 +212,24 @@
 })
 
 /** Plays claims of a few keys at jumping times and gives the keys that were granted twice. */
-function findDoubleGrants (steps: ReadonlyArray<readonly [number, number]>, change = keep): string[] {
-  const log = configured()
+function findDoubleGrants (steps: ReadonlyArray<readonly [number, number]>, transform = unchanged): string[] {
+  const log = configuredLog()
   const granted = new Set<string>()
-  const twice: string[] = []
+  const grantedTwice: string[] = []
   for (const [number, elapsedMs] of steps) {
     log.logTimeMs += elapsedMs
     const key = keyAt(START_MS + number * 600_000, number)
-    if (kindOf(log.apply(claim(key))) === 'granted') {
-      if (granted.has(key)) twice.push(key)
+    if (resultKind(log.apply(claim(key))) === 'granted') {
+      if (granted.has(key)) grantedTwice.push(key)
       granted.add(key)
     }
     const state = elapsedMs % 2 === 0 ? 'not_run' : 'unknown'
-    const isSettled = elapsedMs % 3 === 0 && kindOf(log.apply(settle(log, key, state))) === 'done'
+    const isSettled = elapsedMs % 3 === 0 && resultKind(log.apply(settle(log, key, state))) === 'done'
     // What certainly did not run may be granted to a repeat.
     if (isSettled && state === 'not_run') granted.delete(key)
-    if (elapsedMs % 5 === 0) log.state = ControlState.restore(change(log.state.snapshot()), options)
+    if (elapsedMs % 5 === 0) log.state = ControlState.restore(transform(log.state.snapshot()), options)
   }
-  return twice
+  return grantedTwice
 }
 
 const claimSteps = fc.array(fc.tuple(fc.integer({ min: -6, max: 8 }), fc.nat(HOUR_MS / 2)), { maxLength: 60 })
@@ -240,7 +240,7 @@
 })
 
 test('the checker of grants notices claims that are forgotten too early', t => {
-  const forget: Tamper = snapshot => ({ ...snapshot, claims: [] })
+  const forget: Transform = snapshot => ({ ...snapshot, claims: [] })
   t.true(fc.check(fc.property(claimSteps, steps => findDoubleGrants(steps, forget).length === 0), { seed: 7 }).failed)
 })
 
@@ -250,18 +250,18 @@
 }
 
 /** Plays changes of racing operators and gives versions that went back or had two contents. */
-function findReversions (steps: ReadonlyArray<readonly [number, number]>, change = keep): string[] {
-  const log = configured()
+function findVersionErrors (steps: ReadonlyArray<readonly [number, number]>, transform = unchanged): string[] {
+  const log = configuredLog()
   const accepted = new Map<number, number>()
   const problems: string[] = []
   for (const [offset, weight] of steps) {
     const before = log.state.configuration.version
     const version = before + offset
-    const result = kindOf(log.apply({ kind: 'apply_configuration', change: weightChange(version, weight) }))
+    const result = resultKind(log.apply({ kind: 'apply_configuration', change: weightChange(version, weight) }))
     if (result === 'done' && (accepted.get(version) ?? weight) !== weight) problems.push(`version ${version} has two contents`)
     if (result === 'done') accepted.set(version, weight)
     else if (accepted.get(version) === weight && offset > -5) problems.push(`version ${version} is refused on resend: ${result}`)
-    if (weight % 4 === 0) log.state = ControlState.restore(change(log.state.snapshot()), options)
+    if (weight % 4 === 0) log.state = ControlState.restore(transform(log.state.snapshot()), options)
     if (log.state.configuration.version < before) problems.push(`version ${before} went back`)
   }
   return problems
@@ -271,30 +271,32 @@
 const changeSteps = fc.array(changeStep, { maxLength: 60 })
 
 test('racing changes of one version have one winner, resends get the first answer, and no version goes back', t => {
-  fc.assert(fc.property(changeSteps, steps => findReversions(steps).length === 0), { seed: 11, numRuns: 500 })
+  fc.assert(fc.property(changeSteps, steps => findVersionErrors(steps).length === 0), { seed: 11, numRuns: 500 })
   t.pass()
 })
 
 test('the checker of versions notices a restore that forgets the last change', t => {
-  const revert: Tamper = snapshot => {
+  const revert: Transform = snapshot => {
     const version = Math.max(1, snapshot.configuration.version - 1)
     return { ...snapshot, configuration: { ...snapshot.configuration, version } }
   }
-  t.true(fc.check(fc.property(changeSteps, steps => findReversions(steps, revert).length === 0), { seed: 11 }).failed)
+  t.true(fc.check(fc.property(
+    changeSteps, steps => findVersionErrors(steps, revert).length === 0
+  ), { seed: 11 }).failed)
 })
 
 test('a conflict names the version in force, and a version too old to compare is refused instead of guessed', t => {
-  const log = configured()
+  const log = configuredLog()
   for (let version = 2; version <= 10; version += 1) log.apply({ kind: 'apply_configuration', change: weightChange(version, version) })
   const conflict = log.apply({ kind: 'apply_configuration', change: weightChange(9, 3) })
   t.regex(conflict.kind === 'refused' ? conflict.failure.detail : '', /version 10 is in force/)
-  t.is(kindOf(log.apply({ kind: 'apply_configuration', change: weightChange(5, 5) })), 'done')
-  t.is(kindOf(log.apply({ kind: 'apply_configuration', change: weightChange(4, 4) })), 'version_conflict')
-  t.is(kindOf(log.apply({ kind: 'apply_configuration', change: weightChange(12, 1) })), 'version_gap')
+  t.is(resultKind(log.apply({ kind: 'apply_configuration', change: weightChange(5, 5) })), 'done')
+  t.is(resultKind(log.apply({ kind: 'apply_configuration', change: weightChange(4, 4) })), 'version_conflict')
+  t.is(resultKind(log.apply({ kind: 'apply_configuration', change: weightChange(12, 1) })), 'version_gap')
 })
 
 test('guarantees that the inventory cannot hold are refused and leave the version as it is', t => {
-  const log = configured()
+  const log = configuredLog()
   const guarantee = (cells: number): ConfigurationChange => ({
     version: 2,
     baseVersion: 1,
@@ -304,13 +306,13 @@
     }],
     removes: []
   })
-  t.is(kindOf(log.apply({ kind: 'apply_configuration', change: guarantee(4) })), 'guarantee_unsatisfiable')
+  t.is(resultKind(log.apply({ kind: 'apply_configuration', change: guarantee(4) })), 'guarantee_unsatisfiable')
   t.is(log.state.configuration.version, 1)
-  t.is(kindOf(log.apply({ kind: 'apply_configuration', change: guarantee(3) })), 'done')
+  t.is(resultKind(log.apply({ kind: 'apply_configuration', change: guarantee(3) })), 'done')
 })
 
 test('the feed gets the changes that it lacks, and a full copy where they are no longer kept', t => {
-  const log = configured()
+  const log = configuredLog()
   for (let version = 2; version <= 8; version += 1) log.apply({ kind: 'apply_configuration', change: weightChange(version, 1) })
   t.deepEqual(log.state.changesSince(6)?.map(({ version }) => version), [7, 8])
   t.deepEqual(log.state.changesSince(8), [])
@@ -318,15 +320,15 @@
   t.is(log.state.changesSince(9), undefined)
 })
 
-const WORKERS = ['w0', 'w1', 'w2', 'w3']
+const WORKER_IDS = ['w0', 'w1', 'w2', 'w3']
 
 /** Commands about a few jobs, workers and keys, many of them late, doubled or impossible. */
-const commands = fc.array(fc.tuple(fc.nat(13), fc.nat(5), fc.nat(20), fc.nat(HOUR_MS / 4)), { maxLength: 120 })
+const commandEntries = fc.array(fc.tuple(fc.nat(13), fc.nat(5), fc.nat(20), fc.nat(HOUR_MS / 4)), { maxLength: 120 })
 
-function commandOf (log: Log, [kind, which, detail]: readonly [number, number, number, number]): ControlCommand {
+function toCommand (log: CommandLog, [kind, which, detail]: readonly [number, number, number, number]): ControlCommand {
   const jobId = `j${which}`
   const leaseId = detail === 0 ? 1 : log.state.job(jobId)?.leaseId ?? 0
-  const workerId = WORKERS[which % 4] ?? 'w0'
+  const workerId = WORKER_IDS[which % 4] ?? 'w0'
   const key = keyAt(START_MS + detail * 60_000, which)
   switch (kind) {
     case 0: return { kind: 'apply_configuration', change: weightChange(log.state.configuration.version + detail % 3, detail + 1) }
@@ -348,42 +350,47 @@
 }
 
 /** Plays commands on a state that is restored after each one, and compares it with a replay. */
-function findDifference (list: ReadonlyArray<Parameters<typeof commandOf>[1]>, change = keep): string | undefined {
-  const replayed = configured()
+function findDifference (
+  entries: ReadonlyArray<Parameters<typeof toCommand>[1]>,
+  transform = unchanged
+): string | undefined {
+  const replayed = configuredLog()
   let restored = ControlState.restore(replayed.state.snapshot(), options)
-  for (const entry of list) {
+  for (const entry of entries) {
     replayed.logTimeMs += entry[3]
-    const command = commandOf(replayed, entry)
+    const command = toCommand(replayed, entry)
     const expected = replayed.apply(command)
     const found = restored.apply(command, replayed.index, replayed.logTimeMs)
     const snapshot = restored.snapshot()
     const isSame = fc.stringify([expected, replayed.state.snapshot()]) === fc.stringify([found, snapshot])
     if (!isSame) return `different after entry ${replayed.index}, ${command.kind}`
-    restored = ControlState.restore(structuredClone(change(snapshot)), options)
+    restored = ControlState.restore(structuredClone(transform(snapshot)), options)
   }
   return undefined
 }
 
 test('a state restored from its snapshot after every entry is the state of a replay', t => {
-  fc.assert(fc.property(commands, list => findDifference(list) === undefined), { seed: 23, numRuns: 200 })
+  fc.assert(fc.property(commandEntries, list => findDifference(list) === undefined), { seed: 23, numRuns: 200 })
   t.pass()
 })
 
 test('the checker of snapshots notices one that leaves out the drains', t => {
-  const leaveOut: Tamper = snapshot => ({ ...snapshot, drains: [] })
-  t.true(fc.check(fc.property(commands, list => findDifference(list, leaveOut) === undefined), { seed: 23 }).failed)
+  const leaveOut: Transform = snapshot => ({ ...snapshot, drains: [] })
+  t.true(fc.check(fc.property(
+    commandEntries, list => findDifference(list, leaveOut) === undefined
+  ), { seed: 23 }).failed)
 })
 
 /** Accelerators held by two open jobs, as the state has them. */
-function findSharedHolds (state: ControlState): string[] {
-  const seen = new Map<string, string>()
+function findDoubleAllocations (state: ControlState): string[] {
+  const jobByAccelerator = new Map<string, string>()
   const shared: string[] = []
   for (const { spec, placement } of state.jobs()) {
     for (const { workerId, firstAccelerator, acceleratorCount } of placement?.tasks ?? []) {
       for (let offset = 0; offset < acceleratorCount; offset += 1) {
         const name = `${workerId}/${firstAccelerator + offset}`
-        if (seen.has(name)) shared.push(`${name} is held by ${seen.get(name)} and ${spec.jobId}`)
-        seen.set(name, spec.jobId)
+        if (jobByAccelerator.has(name)) shared.push(`${name} is held by ${jobByAccelerator.get(name)} and ${spec.jobId}`)
+        jobByAccelerator.set(name, spec.jobId)
       }
     }
   }
@@ -391,12 +398,12 @@
 }
 
 test('no sequence of commands gives an accelerator to two jobs or starts a job twice that may run once', t => {
-  fc.assert(fc.property(commands, list => {
-    const log = configured()
+  fc.assert(fc.property(commandEntries, list => {
+    const log = configuredLog()
     for (const entry of list) {
-      log.apply(commandOf(log, entry))
+      log.apply(toCommand(log, entry))
       const isOnce = [...log.state.jobs()].every(({ spec, starts }) => spec.preemption !== 'none' || starts <= 1)
-      if (findSharedHolds(log.state).length > 0 || !isOnce) return false
+      if (findDoubleAllocations(log.state).length > 0 || !isOnce) return false
     }
     return true
   }), { seed: 29, numRuns: 300 })
@@ -404,10 +411,10 @@
 })
 
 test('the checker of holds notices a placement that was put in unchecked', t => {
-  const log = withJob()
+  const log = logWithJob()
   log.apply(place('j0', ['w0', 'w1']))
   const snapshot = log.state.snapshot()
   const copies = snapshot.jobs.map(record => ({ ...record, spec: job('copy') }))
   const state = ControlState.restore({ ...snapshot, jobs: [...snapshot.jobs, ...copies] }, stateOptions)
-  t.not(findSharedHolds(state).length, 0)
+  t.not(findDoubleAllocations(state).length, 0)
 })
