--- a/packages/control/src/canonical-json.ts
+++ b/packages/control/src/canonical-json.ts
@@ -1,8 +1,8 @@
-/** One text for equal content, whatever the order in which a client wrote its fields. */
+/** Canonical JSON and content digests, independent of the order of object fields. */
 import { createHash } from 'node:crypto'
 
 /**
- * Gives JSON with sorted field names; fields that are undefined are left out.
+ * Serializes a value to JSON with object keys sorted; undefined fields are omitted.
  *
  * @example
  * canonicalJson({ b: 1, a: 2 }) // '{"a":2,"b":1}'
@@ -11,11 +11,11 @@
   return JSON.stringify(value, (_key, inner: unknown) => isPlainObject(inner) ? sortFields(inner) : inner)
 }
 
-/** Bytes of a digest made by `contentDigest`: 128 bits of SHA-256. */
+/** Length of the digests returned by `contentDigest`: SHA-256 truncated to 128 bits. */
 export const DIGEST_BYTES = 16
 
 /**
- * Gives a digest of the canonical JSON of a value.
+ * Computes the digest of the canonical JSON of a value.
  *
  * @example
  * contentDigest({ a: 1 }).length // 16
--- a/packages/control/src/cell-allocations.ts
+++ b/packages/control/src/cell-allocations.ts
@@ -1,23 +1,25 @@
-/** Which accelerators of a worker are held by which placement; no accelerator is ever held twice. */
+/** Allocation of accelerators to placed tasks; an accelerator is never allocated twice. */
 import type { Placement, TaskPlacement } from '@comfreygrade/core'
 
-/** Accelerators held for one task, from the commit of its placement until all tasks of its gang are released. */
+/**
+ * One cell: the accelerators of a worker that are allocated to one task, from the commit of its placement until all
+ * tasks of its gang are released.
+ */
 export interface CellAllocation {
   readonly jobId: string
   readonly leaseId: number
   readonly task: TaskPlacement
 }
 
-/** Held cells by worker. */
+/** Allocated cells, indexed by worker. */
 export class CellAllocations {
   readonly #byWorker = new Map<string, readonly CellAllocation[]>()
 
-  /** Cells held on a worker. */
   onWorker (workerId: string): readonly CellAllocation[] {
     return this.#byWorker.get(workerId) ?? []
   }
 
-  /** Gives the first cell that shares an accelerator with the task, or undefined. */
+  /** Returns the first allocated cell that shares an accelerator with the task. */
   findConflict (task: TaskPlacement): CellAllocation | undefined {
     return this.onWorker(task.workerId).find(held => shareAccelerators(held.task, task))
   }
@@ -38,10 +40,10 @@
 }
 
 /**
- * Says whether two tasks share an accelerator of a worker; a task without accelerators shares none.
+ * Returns whether two tasks use a common accelerator of a worker; a task without accelerators shares none.
  *
  * @example
- * overlaps(first, second) // false on different workers
+ * shareAccelerators(first, second) // false on different workers
  */
 export function shareAccelerators (left: TaskPlacement, right: TaskPlacement): boolean {
   return left.workerId === right.workerId && left.acceleratorCount > 0 && right.acceleratorCount > 0 &&
--- a/packages/control/src/claims.ts
+++ b/packages/control/src/claims.ts
@@ -1,4 +1,7 @@
-/** Claims of non-repeatable requests: each key is granted at most once, ever. */
+/**
+ * Claims of non-repeatable requests. At most one request at a time holds the grant for an idempotency key, and a key
+ * whose request may have run is never granted to another request.
+ */
 import { type Failure, failure } from '@comfreygrade/core'
 import { Fifo } from './fifo.js'
 import { type IdempotencyKey, parseIdempotencyKey } from './idempotency-key.js'
@@ -7,23 +10,23 @@
 import type { ClaimState, ClaimView, RecordedAnswer } from './operations.js'
 import type { ControlStateSettings } from './settings.js'
 
-/** A claim as it is kept; records are replaced, never changed, so a snapshot may share them. */
+/** Stored claim. Records are immutable, so a snapshot may share them with the live state. */
 export interface ClaimRecord extends ClaimView {
   readonly digest: string
-  /** Request that holds the grant; the same one may ask again, and only it may settle the claim. */
+  /** Request that holds the grant. It may repeat the claim, and only it may settle the claim. */
   readonly claimantId: string
   readonly claimedLogMs: number
-  /** Log index of the last settlement; 0 while pending. Orders recorded answers by age. */
+  /** Log index of the last settlement; 0 while pending. Determines the age of a recorded answer. */
   readonly settledIndex: number
 }
 
 type ClaimCommand = Extract<ControlCommand, { kind: 'claim_request' }>
 type SettleCommand = Extract<ControlCommand, { kind: 'settle_claim' }>
 
-/** Claims due in the same period are forgotten together; a claim is kept up to this much longer than it must be. */
+/** Claims that expire within the same bucket are removed together, up to this long after their retention ended. */
 const EXPIRY_BUCKET_MS = 10_000
 
-/** All claims within their retention. */
+/** All claims within their retention period. */
 export class ClaimTable {
   readonly #settings: ControlStateSettings
   readonly #claims = new Map<string, ClaimRecord>()
@@ -41,22 +44,22 @@
     return this.#claims.size
   }
 
-  /** Total bytes of recorded answers. */
+  /** Total body size of the recorded answers. */
   get answerBytes (): number {
     return this.#answerBytes
   }
 
-  /** Gives a claim by organisation and key, in either spelling of the UUID. */
+  /** Looks up a claim by organisation and key; the key is case-insensitive. */
   get (organisationId: string, key: string): ClaimRecord | undefined {
     return this.#claims.get(claimId(organisationId, key.toLowerCase()))
   }
 
-  /** All claims in the order of their commits. */
+  /** Returns all claims in commit order. */
   records (): ClaimRecord[] {
     return [...this.#claims.values()]
   }
 
-  /** Says why a key cannot be claimed at `logTimeMs`; undefined when it can. */
+  /** Returns why a key cannot be claimed at `logTimeMs`, or undefined if it can. */
   checkKey (text: string, logTimeMs: number): Failure | undefined {
     const key = parseIdempotencyKey(text)
     return key === undefined
@@ -65,8 +68,8 @@
   }
 
   /**
-   * Grants a new claim, or gives the existing one with `granted: false`. A claim settled as `not_run` is granted anew:
-   * its caller was told to repeat the request, and no earlier dispatch can be under way.
+   * Grants a new claim, or returns the existing one with `granted: false`. A claim settled as `not_run` is granted
+   * again: its caller was told to repeat the request, and no earlier dispatch can be in progress.
    */
   claim (command: ClaimCommand, logTimeMs: number, maxDeadlineMs: number): CommandResult {
     const key = parseIdempotencyKey(command.key)
@@ -89,13 +92,13 @@
       claimedLogMs: logTimeMs,
       settledIndex: 0
     }
-    // An existing claim keeps its place in the order of retention, which its key's time of issue bounds.
+    // An existing claim keeps its expiry bucket: the key is refused as expired before that bucket is removed.
     if (existing === undefined) this.#add(record, key.issuedMs)
     else this.#claims.set(claimId(record.organisationId, record.key), record)
     return { kind: 'claimed', granted: true, claim: toClaimView(record, logTimeMs, maxDeadlineMs) }
   }
 
-  /** Records how a claim ended. `unknown` may still become known; `completed` and `not_run` are final. */
+  /** Records the outcome of a claim. `unknown` may be replaced later; `completed` and `not_run` are final. */
   settle (command: SettleCommand, index: number): CommandResult {
     const record = this.get(command.organisationId, command.key)
     if (record === undefined) return refuse('not_found', `claim ${command.key} does not exist`)
@@ -113,18 +116,18 @@
     return done
   }
 
-  /** Forgets every claim whose retention ended; each claim is touched once. */
+  /** Removes every claim whose retention period ended. Amortised cost is constant per claim. */
   removeExpired (logTimeMs: number): void {
     const endBucket = Math.floor(logTimeMs / EXPIRY_BUCKET_MS)
     if (this.#expiryBuckets.size === 0) this.#nextBucket = endBucket
     for (; this.#nextBucket < endBucket; this.#nextBucket += 1) this.#removeBucket(this.#nextBucket)
   }
 
-  /** Puts back records of a snapshot, given in the order of their commits. */
+  /** Restores the records of a snapshot, which are in commit order. */
   restore (records: readonly ClaimRecord[]): void {
     for (const record of records) {
       const key = parseIdempotencyKey(record.key)
-      if (key === undefined) throw new Error(`snapshot holds the invalid idempotency key ${record.key}`)
+      if (key === undefined) throw new Error(`snapshot contains the invalid idempotency key ${record.key}`)
       this.#add(record, key.issuedMs)
     }
     const answered = records.filter(record => record.answer !== null)
@@ -135,12 +138,12 @@
 
   #checkAge (key: IdempotencyKey, logTimeMs: number): Failure | undefined {
     const { claimRetentionMs, claimMaxAheadMs } = this.#settings
-    // At the end of retention a claim may be forgotten, so from then on the key must never be granted again.
+    // From this time on the claim may have been removed, so the key must never be granted again.
     if (key.issuedMs + claimRetentionMs <= logTimeMs) {
-      return failure('key_expired', `idempotency key ${key.text} is ${logTimeMs - key.issuedMs} ms old, below ${claimRetentionMs} ms is allowed`)
+      return failure('key_expired', `idempotency key ${key.text} is ${logTimeMs - key.issuedMs} ms old, it must be less than ${claimRetentionMs} ms old`)
     }
     if (key.issuedMs > logTimeMs + claimMaxAheadMs) {
-      return failure('key_invalid', `idempotency key ${key.text} was issued ${key.issuedMs - logTimeMs} ms in the future, ${claimMaxAheadMs} ms are allowed`)
+      return failure('key_invalid', `idempotency key ${key.text} was issued ${key.issuedMs - logTimeMs} ms in the future, at most ${claimMaxAheadMs} ms are allowed`)
     }
     return undefined
   }
@@ -149,10 +152,10 @@
     const { maxClaims, maxClaimsPerOrganisation } = this.#settings
     const count = this.#countByOrganisation.get(organisationId) ?? 0
     if (count >= maxClaimsPerOrganisation) {
-      return failure('quota_exceeded', `organisation ${organisationId} has ${count} claims, ${maxClaimsPerOrganisation} are allowed`)
+      return failure('quota_exceeded', `organisation ${organisationId} has ${count} claims, at most ${maxClaimsPerOrganisation} are allowed`)
     }
     if (this.#claims.size >= maxClaims) {
-      return failure('queue_full', `${this.#claims.size} claims are kept, ${maxClaims} are allowed`)
+      return failure('queue_full', `${this.#claims.size} claims are stored, at most ${maxClaims} are allowed`)
     }
     return undefined
   }
@@ -200,7 +203,7 @@
     this.#evictOldAnswers()
   }
 
-  /** Removes answers above the total, and entries at the front whose claim was forgotten. */
+  /** Evicts the oldest answers above the total limit, and queue entries whose claim was already removed. */
   #evictOldAnswers (): void {
     for (let id = this.#answersByAge.peek(); id !== undefined; id = this.#answersByAge.peek()) {
       const record = this.#claims.get(id)
@@ -215,8 +218,8 @@
 }
 
 /**
- * Gives what callers may see of a claim. After the longest deadline of a request nobody works on a pending claim any
- * more: the entry VM that could settle it has failed, and the outcome is unknown.
+ * Converts a claim to the view that callers get. A claim that is still pending after the maximum request deadline is
+ * shown as `unknown`: the entry VM that could have settled it has failed.
  *
  * @example
  * toClaimView(record, record.claimedLogMs + 120_001, 120_000).state // 'unknown' for a pending claim
@@ -240,8 +243,8 @@
 }
 
 /**
- * Whether a request may be dispatched under an existing claim: its own grant whose answer was lost, or one that
- * certainly did not run.
+ * Returns whether an existing claim may be granted again: to the claimant itself, which did not receive the answer to
+ * its grant, or to any request after a settlement as `not_run`.
  *
  * @example
  * isGrantable(record, 'request-7') // true while request-7 holds the pending claim
@@ -251,5 +254,5 @@
 }
 
 function refuseReusedKey (existing: ClaimRecord): CommandResult {
-  return refuse('key_reused', `idempotency key ${existing.key} was used for a request with other content`)
+  return refuse('key_reused', `idempotency key ${existing.key} was already used for a request with different content`)
 }
--- a/packages/control/src/command-results.ts
+++ b/packages/control/src/command-results.ts
@@ -1,12 +1,12 @@
-/** Results of commands. */
+/** Constructors for the results of commands. */
 import { type ErrorKind, failure } from '@comfreygrade/core'
 import type { CommandResult } from './commands.js'
 
-/** The result of a command that took effect, or had taken effect before. */
+/** Result of a command that took effect, or whose effect was already in place. */
 export const done: CommandResult = { kind: 'done' }
 
 /**
- * Gives the result of a command whose precondition does not hold.
+ * Creates the result of a command whose precondition does not hold.
  *
  * @example
  * refuse('not_found', 'job j1 does not exist')
--- a/packages/control/src/commands.ts
+++ b/packages/control/src/commands.ts
@@ -2,17 +2,20 @@
 import type { ConfigurationChange, Failure, JobOutcome, JobSpec, Placement, WorkerState } from '@comfreygrade/core'
 import type { ClaimView, ControlOperation, Drain } from './operations.js'
 
-/** What follows when every task of a stopping job is released. */
+/** What happens to a stopping job once all of its tasks are released: it is requeued, or ends with an outcome. */
 export type StopGoal = 'requeue' | JobOutcome
 
-/** Every change of the control state. The result of a decision is recorded, never its inputs. */
+/**
+ * Every change of the control state. Commands carry the results of decisions, never their inputs, so that applying them
+ * is deterministic.
+ */
 export type ControlCommand =
   | { readonly kind: 'apply_configuration', readonly change: ConfigurationChange }
   | { readonly kind: 'submit_job', readonly spec: JobSpec }
   | { readonly kind: 'place_job', readonly jobId: string, readonly placement: Placement }
   | { readonly kind: 'start_job', readonly jobId: string, readonly leaseId: number }
   | { readonly kind: 'job_running', readonly jobId: string, readonly leaseId: number }
-  /** Releases every task of a placement; a requeue may later become an outcome, never the other way. */
+  /** Releases every task of a placement. A later command may replace a requeue by an outcome, but not the reverse. */
   | {
     readonly kind: 'stop_job'
     readonly jobId: string
@@ -32,9 +35,9 @@
   }
   | { readonly kind: 'worker_state', readonly workerId: string, readonly state: WorkerState, readonly incarnation: number, readonly address: string }
   | { readonly kind: 'set_drain', readonly drain: Drain, readonly isDraining: boolean }
-  /** Claims are recorded as they were asked for. */
+  /** The claim operations are committed unchanged. */
   | Extract<ControlOperation, { readonly kind: 'claim_request' | 'settle_claim' }>
-  /** Advances log time where nothing else is proposed, so that claims are forgotten. */
+  /** Advances log time when nothing else is proposed, so that claims and ended jobs expire. */
   | { readonly kind: 'clock' }
 
 /** Result of applying a command. */
--- a/packages/control/src/configuration-history.ts
+++ b/packages/control/src/configuration-history.ts
@@ -1,4 +1,4 @@
-/** The configuration in force and how it came to be. */
+/** The configuration in force and the changes that led to it. */
 import {
   applyChange, emptyConfiguration, failure, fromDocument, toDocument,
   type Configuration, type ConfigurationChange, type ConfigurationDocument, type Failure, type Result
@@ -7,29 +7,29 @@
 import type { GuaranteeValidator } from './ports.js'
 import type { ControlStateSettings } from './settings.js'
 
-/** Configuration and its history as plain data. */
+/** Serializable form of the configuration and its history. */
 export interface ConfigurationSnapshot {
   readonly version: number
   readonly document: ConfigurationDocument
   readonly recentChanges: readonly ConfigurationChange[]
-  /** Digests of the last versions, 16 bytes each, the newest last. */
+  /** Digests of the latest versions, 16 bytes each, newest last. */
   readonly digests: Uint8Array
 }
 
-/** What a change would do: `repeated` is a version in force with the same content. */
+/** Result of validating a change: `repeated` means that its version was accepted before with the same content. */
 export type ChangeCheck =
   | { readonly kind: 'new', readonly configuration: Configuration }
   | { readonly kind: 'repeated' }
   | { readonly kind: 'refused', readonly failure: Failure }
 
-/** A check that holds as long as the same configuration is in force. */
+/** Cached validation result, valid while the base configuration is in force. */
 interface CachedCheck {
   readonly change: ConfigurationChange
   readonly base: Configuration
   readonly result: ChangeCheck
 }
 
-/** Linear history of accepted changes. */
+/** Linear history of accepted configuration changes. */
 export class ConfigurationHistory {
   readonly #settings: ControlStateSettings
   readonly #validator: GuaranteeValidator
@@ -50,8 +50,8 @@
   }
 
   /**
-   * Finds out what a change would do, without applying it. The last result is kept, because a leader checks a change
-   * when it is asked for and again when it is committed, and each check walks over all workers.
+   * Validates a change without applying it. The last result is cached: a leader validates a change on request and
+   * again on commit, and each validation iterates over all workers.
    */
   check (change: ConfigurationChange): ChangeCheck {
     if (this.#lastCheck?.change !== change || this.#lastCheck.base !== this.#current) {
@@ -70,7 +70,7 @@
       : { kind: 'refused', failure: problem }
   }
 
-  /** Applies a change; the same version with the same content succeeds again and changes nothing. */
+  /** Applies a change. Idempotent: a known version with the same content succeeds and changes nothing. */
   apply (change: ConfigurationChange): Result<'applied' | 'repeated'> {
     const checked = this.check(change)
     if (checked.kind === 'refused') return { ok: false, failure: checked.failure }
@@ -82,7 +82,7 @@
     return { ok: true, value: 'applied' }
   }
 
-  /** Changes after `version` up to the one in force; undefined when a full copy is needed. */
+  /** Returns the changes after `version`, or undefined if a full copy is needed. */
   changesSince (version: number): ConfigurationChange[] | undefined {
     const missing = this.#current.version - version
     if (missing < 0 || missing > this.#recentChanges.length) return undefined
@@ -107,14 +107,14 @@
   #checkAcceptedVersion (change: ConfigurationChange): ChangeCheck {
     const digest = this.#digests.get(change.version, this.#current.version)
     if (digest !== undefined && equalBytes(digest, contentDigest(change))) return { kind: 'repeated' }
-    const conflict = digest === undefined ? 'is too old to compare' : 'was accepted with other content'
+    const conflict = digest === undefined ? 'is too old to compare' : 'was accepted with different content'
     return {
       kind: 'refused',
       failure: failure('version_conflict', `version ${change.version} ${conflict}; version ${this.#current.version} is in force`)
     }
   }
 
-  /** The check costs a walk over the inventory, so it is left out for changes that cannot break a guarantee. */
+  /** Skipped for changes that cannot break a guarantee, because validation iterates over the whole inventory. */
   #checkGuarantees (next: Configuration): Failure | undefined {
     const { workers, guarantees, racks } = this.#current
     const isUnaffected = next.workers === workers && next.guarantees === guarantees && next.racks === racks
@@ -146,7 +146,7 @@
   return left.length === right.length && left.every((byte, index) => byte === right[index])
 }
 
-/** Digests of the last versions in one ring of bytes: 65,536 of them take 1 MB. */
+/** Ring buffer with the digests of the latest versions; 65,536 digests take 1 MB. */
 class ChangeDigests {
   readonly #capacity: number
   #bytes = new Uint8Array(0)
--- a/packages/control/src/deadline-queue.ts
+++ b/packages/control/src/deadline-queue.ts
@@ -1,4 +1,4 @@
-/** One deadline per key, in a binary heap. */
+/** Priority queue of deadlines, one per key. */
 
 interface HeapEntry {
   readonly key: string
@@ -6,8 +6,8 @@
 }
 
 /**
- * Keyed deadlines. A later deadline for a key costs constant time: its entry in the heap is moved when it comes up, so
- * that thousands of lease renewals a second do not reorder the heap.
+ * Binary heap of keyed deadlines. Postponing a deadline takes constant time: its heap entry is reinserted lazily, when
+ * it reaches the top, so that thousands of lease renewals per second do not reorder the heap.
  *
  * @example
  * const queue = new DeadlineQueue()
@@ -20,7 +20,7 @@
   readonly #queuedAtMs = new Map<string, number>()
   readonly #heap: HeapEntry[] = []
 
-  /** Sets or moves the deadline of a key. */
+  /** Sets or replaces the deadline of a key. */
   set (key: string, atMs: number): void {
     this.#deadlines.set(key, atMs)
     const queuedAtMs = this.#queuedAtMs.get(key)
@@ -35,13 +35,13 @@
     return this.#deadlines.get(key)
   }
 
-  /** Time of the earliest deadline, or one shortly before it; undefined when there is none. */
+  /** Returns the time of the earliest deadline, or undefined if there is none. */
   nextWakeAtMs (): number | undefined {
     this.#removeStaleEntries()
     return this.#heap[0]?.atMs
   }
 
-  /** Removes and gives the keys whose deadline is not after `nowMs`. */
+  /** Removes and returns the keys whose deadline is at or before `nowMs`. */
   takeDue (nowMs: number): string[] {
     const due: string[] = []
     for (let entry = this.#heap[0]; entry !== undefined && entry.atMs <= nowMs; entry = this.#heap[0]) {
@@ -115,7 +115,7 @@
 }
 
 /**
- * Gives the earliest of several times, of which any may be absent.
+ * Returns the earliest of several optional times.
  *
  * @example
  * earliest([undefined, 7, 5]) // 5
--- a/packages/control/src/drains.ts
+++ b/packages/control/src/drains.ts
@@ -1,9 +1,9 @@
-/** Drains that operators asked for. */
+/** Drains set by operators. */
 import { done, refuse } from './command-results.js'
 import type { CommandResult } from './commands.js'
 import type { Drain, DrainKind } from './operations.js'
 
-/** The set of drains in force. */
+/** Active drains, by kind and ID. */
 export class DrainSet {
   readonly #maxDrains: number
   readonly #drains = new Map<string, Drain>()
@@ -27,7 +27,7 @@
       return done
     }
     if (this.#drains.size >= this.#maxDrains && !this.#drains.has(key)) {
-      return refuse('queue_full', `${this.#drains.size} drains are in force, ${this.#maxDrains} are allowed`)
+      return refuse('queue_full', `${this.#drains.size} drains are active, ${this.#maxDrains} are allowed`)
     }
     this.#drains.set(key, { kind, id })
     return done
--- a/packages/control/src/fifo.ts
+++ b/packages/control/src/fifo.ts
@@ -1,4 +1,4 @@
-/** First-in, first-out queue of constant amortised cost; a `Map` used as one slows down while its front is deleted. */
+/** FIFO queue with amortised constant cost. A `Map` used as a queue slows down when its first entries are deleted. */
 export class Fifo<T> {
   #items: T[] = []
   #head = 0
@@ -11,12 +11,12 @@
     this.#items.push(item)
   }
 
-  /** The oldest item, or undefined when the queue is empty. */
+  /** Returns the oldest item, or undefined if the queue is empty. */
   peek (): T | undefined {
     return this.#items[this.#head]
   }
 
-  /** Removes and gives the oldest item. */
+  /** Removes and returns the oldest item. */
   shift (): T | undefined {
     const item = this.#items[this.#head]
     if (this.#head === this.#items.length) return undefined
--- a/packages/control/src/gang-life-cycle.ts
+++ b/packages/control/src/gang-life-cycle.ts
@@ -1,4 +1,7 @@
-/** Drives every placed gang: all tasks are prepared before one starts, and all are released before a cell is reused. */
+/**
+ * Life cycle of placed gangs. All tasks of a gang are prepared before any of them starts, and all are released before
+ * any of its cells is allocated again.
+ */
 import type { TaskReport } from '@comfreygrade/core'
 import { DeadlineQueue, earliest } from './deadline-queue.js'
 import { Gang, nextCommand, type GangTask, type StopRequest } from './gang.js'
@@ -10,21 +13,21 @@
 import type { WorkerAvailability } from './worker-availability.js'
 
 /**
- * Reports in a row without an accepted task after which it counts as lost. The first may have been sent before the task
- * arrived.
+ * Consecutive reports without an accepted task after which the task counts as lost. A single one may have been sent
+ * before the order arrived.
  */
 const MAX_MISSING_REPORTS = 2
 
-/** Gangs under this leader, by job. */
+/** Drives the placed gangs of one leader. */
 export class GangLifeCycle {
   readonly #context: LeaderContext
   readonly #schedulerDriver: SchedulerDriver
   readonly #availability: WorkerAvailability
   readonly #gangs = new Map<string, Gang>()
-  /** End of preparation, or of the time for a checkpoint. */
+  /** By job: deadline of the preparation, or of the release. */
   readonly #deadlines = new DeadlineQueue()
   readonly #proposalRetries = new DeadlineQueue()
-  /** Requests to leave for jobs whose placement is not committed yet. */
+  /** Stop requests for jobs whose placement is not committed yet. */
   readonly #deferredStops = new Map<string, { readonly intent: StopRequest, readonly isReclaimed: boolean }>()
 
   constructor (context: LeaderContext, schedulerDriver: SchedulerDriver, availability: WorkerAvailability) {
@@ -37,7 +40,7 @@
     return this.#gangs.size
   }
 
-  /** Takes over a placed job at the start of a term. What its workers did last is not known. */
+  /** Takes over a placed job at the start of a term. The present state of its tasks is unknown. */
   resume (job: JobRecord, nowMs: number): void {
     const isPreparing = job.phase === 'preparing'
     const gang = this.#add(job, job.phase === 'running' ? 'started' : job.phase === 'starting' ? 'held' : 'ordered')
@@ -47,7 +50,7 @@
     this.#advance(gang, nowMs)
   }
 
-  /** Takes in a committed placement: every worker is asked to hold its cell. */
+  /** Handles a committed placement: orders every worker to prepare its task. */
   onPlaced (job: JobRecord, nowMs: number): void {
     const gang = this.#add(job, 'ordered')
     this.#deadlines.set(gang.jobId, nowMs + this.#context.settings.prepareTimeoutMs)
@@ -57,7 +60,7 @@
     if (deferred !== undefined) this.requestStop(gang.jobId, deferred.intent, deferred.isReclaimed, nowMs)
   }
 
-  /** Takes in a committed `start_job`: every worker is asked to run its task until it accepts. */
+  /** Handles a committed `start_job`: orders every worker to start its task, repeatedly until it accepts. */
   onStarted (job: JobRecord, nowMs: number): void {
     const gang = this.#find(job.spec.jobId, job.leaseId)
     if (gang === undefined) return
@@ -66,7 +69,7 @@
     this.#advance(gang, nowMs)
   }
 
-  /** Takes in a committed `stop_job`: every task is released, by checkpoint where that is asked for. */
+  /** Handles a committed `stop_job`: releases every task, with a checkpoint if the command says so. */
   onStopping (job: JobRecord, nowMs: number): void {
     const gang = this.#find(job.spec.jobId, job.leaseId)
     if (gang === undefined) return
@@ -74,7 +77,7 @@
     this.#advance(gang, nowMs)
   }
 
-  /** Takes in that a job has no cells any more. */
+  /** Handles a committed command that released the cells of a job. */
   onReleased (jobId: string, nowMs: number): void {
     const gang = this.#gangs.get(jobId)
     this.#deferredStops.delete(jobId)
@@ -88,7 +91,7 @@
     }
   }
 
-  /** Takes in that a command of a gang was committed, or will not be; a refused one is decided anew after a pause. */
+  /** Handles the outcome of a proposed command. One that was not applied is reconsidered after a delay. */
   onProposalSettled (jobId: string, leaseId: number, isApplied: boolean, nowMs: number): void {
     const gang = this.#find(jobId, leaseId)
     if (gang === undefined) return
@@ -97,7 +100,7 @@
     else this.#proposalRetries.set(jobId, nowMs + this.#context.settings.proposalRetryMs)
   }
 
-  /** Asks a placed job to leave, at once or when its placement is committed; false when it is not placed. */
+  /** Stops a placed job, or defers the stop until its placement is committed. Returns false if it is not placed. */
   requestStop (jobId: string, request: StopRequest, isReclaimed: boolean, nowMs: number): boolean {
     const gang = this.#gangs.get(jobId)
     if (gang === undefined) {
@@ -111,7 +114,6 @@
     return true
   }
 
-  /** Takes in what became of an order. */
   onOrderOutcome (outcome: OrderOutcome, nowMs: number): void {
     const gang = this.#find(outcome.order.jobId, outcome.order.leaseId)
     const task = gang?.task(outcome.order.taskIndex)
@@ -126,7 +128,7 @@
     this.#advance(gang, nowMs)
   }
 
-  /** Takes in a report about the cells held on a worker. */
+  /** Updates the tasks on a worker from its report, which is keyed by `taskReportKey`. */
   onReport (workerId: string, reports: ReadonlyMap<string, TaskReport>, nowMs: number): void {
     for (const { jobId, leaseId, task: { taskIndex } } of this.#context.state.cellsOn(workerId)) {
       const gang = this.#find(jobId, leaseId)
@@ -139,7 +141,7 @@
     }
   }
 
-  /** Takes in that a process of a worker, or its lease, is certainly gone with all its tasks. */
+  /** Handles the certain end of a worker process or of its lease, which ends all of its tasks. */
   onWorkerGone (workerId: string, reason: string, nowMs: number): void {
     for (const { jobId, leaseId, task: { taskIndex } } of this.#context.state.cellsOn(workerId)) {
       const gang = this.#find(jobId, leaseId)
@@ -212,7 +214,7 @@
     else this.#deadlines.set(gang.jobId, nowMs + timeoutMs)
   }
 
-  /** Time after which a stopping gang is handled otherwise; undefined where only its workers can end the wait. */
+  /** Time-out of a release; undefined if only the workers can complete it. */
   #releaseTimeoutMs ({ stop }: JobRecord): number | undefined {
     const { settings, state } = this.#context
     if (stop?.isUnstarted === true) return settings.unstartedReleaseWaitMs
@@ -239,7 +241,7 @@
     }
     if (result === 'unknown_lease' && task.progress !== 'completed') {
       task.progress = 'released'
-      gang.requestStop(requeueRequest(`worker ${workerId} has given up its task`))
+      gang.requestStop(requeueRequest(`worker ${workerId} no longer has the lease of its task`))
       return
     }
     if (result === 'refused') gang.requestStop(requeueRequest(`worker ${workerId} refused to start its task`))
@@ -317,7 +319,7 @@
 }
 
 /**
- * Gives the text under which a task is found in a report.
+ * Returns the key of a task in a worker report.
  *
  * @example
  * taskReportKey({ jobId: 'j1', taskIndex: 0, leaseId: 7 }) // '7/0/j1'
--- a/packages/control/src/gang.ts
+++ b/packages/control/src/gang.ts
@@ -1,34 +1,37 @@
-/** One placed gang in the memory of the leader, and the next step of its life cycle. */
+/** Volatile state of a placed gang on the leader, and the transitions of its life cycle. */
 import type { TaskPlacement } from '@comfreygrade/core'
 import { canRequeue, type JobRecord } from './jobs.js'
 import type { ControlCommand, StopGoal } from './commands.js'
 
-/** How far a task is known to be; `released` means that it certainly runs no more and holds nothing. */
+/**
+ * Progress of a task as far as the leader knows: `ordered` until its worker accepted `prepare`, and `released` once it
+ * certainly neither runs nor holds accelerators.
+ */
 export type TaskProgress = 'ordered' | 'held' | 'started' | 'completed' | 'released'
 
 /** One task of a placed gang. */
 export interface GangTask {
   readonly placement: TaskPlacement
   progress: TaskProgress
-  /** Reports in a row without the task. */
+  /** Consecutive worker reports that did not list the task. */
   missingReports: number
 }
 
-/** Why a gang has to leave its cells and what follows; a job that may not run again ends as failed instead. */
+/** Request to stop a gang. Where the goal is a requeue and the job cannot run again, the job ends as failed instead. */
 export interface StopRequest {
   readonly reason: string
   readonly isCheckpoint: boolean
   readonly goal: StopGoal
 }
 
-/** Progress of one gang under one lease. */
+/** One gang under one lease. */
 export class Gang {
   readonly jobId: string
   readonly leaseId: number
   readonly tasks: readonly GangTask[]
-  /** Set while a command of the life cycle is in flight, so that no step is taken twice. */
+  /** Whether a life cycle command is in flight; no other is proposed meanwhile. */
   hasPendingCommand = false
-  /** Set when the scheduler asked the job to leave. */
+  /** Whether the scheduler decided to reclaim the cells of the job. */
   isReclaimed = false
   #stopRequest: StopRequest | undefined
 
@@ -42,7 +45,7 @@
     return this.#stopRequest
   }
 
-  /** Keeps the first reason; only an end replaces a requeue. */
+  /** Keeps the first request, except that a request to end the job replaces a request to requeue it. */
   requestStop (request: StopRequest): void {
     if (this.#stopRequest === undefined || (this.#stopRequest.goal === 'requeue' && request.goal !== 'requeue')) {
       this.#stopRequest = request
@@ -59,10 +62,10 @@
 }
 
 /**
- * Gives the command that takes a gang to its next step, or undefined when it has to wait for workers.
+ * Returns the command for the next transition of a gang, or undefined while it waits for its workers.
  *
  * @example
- * nextStep(gang, job)?.kind // 'start_job' when all workers of a preparing gang hold their cells
+ * nextCommand(gang, job)?.kind // 'start_job' when all tasks of a preparing gang are held
  */
 export function nextCommand (gang: Gang, job: JobRecord): ControlCommand | undefined {
   switch (job.phase) {
@@ -91,9 +94,9 @@
     : undefined
 }
 
-function stopCommand ({ jobId, leaseId, stopRequest: stopIntent }: Gang, job: JobRecord): ControlCommand | undefined {
-  if (stopIntent === undefined) return undefined
-  const { reason, isCheckpoint, goal } = stopIntent
+function stopCommand ({ jobId, leaseId, stopRequest }: Gang, job: JobRecord): ControlCommand | undefined {
+  if (stopRequest === undefined) return undefined
+  const { reason, isCheckpoint, goal } = stopRequest
   const then = goal === 'requeue' && !canRequeue(job) ? 'failed' : goal
   const canCheckpoint = job.phase === 'running' && job.spec.preemption === 'checkpoint'
   return { kind: 'stop_job', jobId, leaseId, reason, isCheckpoint: isCheckpoint && canCheckpoint, then }
--- a/packages/control/src/idempotency-key.ts
+++ b/packages/control/src/idempotency-key.ts
@@ -1,8 +1,8 @@
-/** Idempotency keys: UUIDs of version 7 (RFC 9562), which carry their time of issue. */
+/** Idempotency keys: UUIDs of version 7 (RFC 9562), which contain their time of issue. */
 
 const UUID_V7 = /^[0-9a-f]{8}-[0-9a-f]{4}-7[0-9a-f]{3}-[89ab][0-9a-f]{3}-[0-9a-f]{12}$/
 
-/** A valid key in lower case, so that both spellings of a UUID name the same claim. */
+/** Valid key, normalised to lower case because UUIDs are case-insensitive. */
 export interface IdempotencyKey {
   readonly text: string
   /** Unix time in milliseconds from the first 48 bits. */
@@ -10,7 +10,7 @@
 }
 
 /**
- * Reads a key; gives undefined unless it is a UUID with the version and variant bits of version 7.
+ * Parses a key. Returns undefined unless it is a UUID with the version and variant bits of version 7.
  *
  * @example
  * parseIdempotencyKey('017F22E2-79B0-7CC3-98C4-DC0C0C07398F')?.issuedMs // 1645557742000
--- a/packages/control/src/jobs.ts
+++ b/packages/control/src/jobs.ts
@@ -1,4 +1,4 @@
-/** Jobs from submission until some time after their end. */
+/** Job table: jobs from their submission until the retention period after their end is over. */
 import type { JobOutcome, JobPhase, JobSpec, Placement } from '@comfreygrade/core'
 import { canonicalJson } from './canonical-json.js'
 import { Fifo } from './fifo.js'
@@ -8,21 +8,21 @@
 import type { JobView } from './operations.js'
 import type { ControlStateSettings } from './settings.js'
 
-/** A job as it is kept; records are replaced, never changed, so a snapshot may share them. */
+/** Stored job. Records are immutable, so a snapshot may share them with the live state. */
 export interface JobRecord extends JobView {
-  /** Log index of the placement; 0 without one. */
+  /** Log index of the placement; 0 if the job is not placed. */
   readonly leaseId: number
-  /** Set while stopping. */
+  /** Set only in the phase `stopping`. */
   readonly stop: StopPlan | null
-  /** Log index of the last change; orders ended jobs by age. */
+  /** Log index of the last change; determines the age of ended jobs. */
   readonly changedIndex: number
 }
 
-/** How a stopping job leaves its workers and what follows. */
+/** How a stopping job is released, and what happens to it afterwards. */
 export interface StopPlan {
   readonly isCheckpoint: boolean
   readonly then: StopGoal
-  /** No task was told to start under this lease, and none will be. */
+  /** No task was ordered to start under this lease, and none will be. */
   readonly isUnstarted: boolean
 }
 
@@ -34,7 +34,7 @@
 
 type CommandOf<Kind extends ControlCommand['kind']> = Extract<ControlCommand, { kind: Kind }>
 
-/** All jobs, with the cells that they hold. */
+/** All jobs and the cells allocated to them. */
 export class JobTable {
   readonly #settings: ControlStateSettings
   readonly #jobs = new Map<string, JobRecord>()
@@ -55,17 +55,16 @@
     return this.#jobs.get(jobId)
   }
 
-  /** All jobs in the order of their submission. */
+  /** Returns all jobs in submission order. */
   records (): IterableIterator<JobRecord> {
     return this.#jobs.values()
   }
 
-  /** Identifiers of the jobs in a phase. */
   idsInPhase (phase: JobPhase): ReadonlySet<string> {
     return this.#idsByPhase.idsInPhase(phase)
   }
 
-  /** Adds a waiting job. The same ID with the same content is done before; other content is refused. */
+  /** Adds a waiting job. Idempotent for the same specification; an existing ID with another one is refused. */
   submit (spec: JobSpec, at: LogPosition): CommandResult {
     const existing = this.#jobs.get(spec.jobId)
     if (existing !== undefined) return isSameSpec(existing.spec, spec) ? done : refuseDifferentSpec(spec.jobId)
@@ -92,7 +91,7 @@
     return done
   }
 
-  /** Gives a waiting job its cells; the caller has checked the workers. */
+  /** Allocates cells to a waiting job. The caller has validated the workers. */
   place ({ jobId, placement }: CommandOf<'place_job'>, at: LogPosition): CommandResult {
     const job = this.#jobs.get(jobId)
     if (job === undefined) return refuseUnknownJob(jobId)
@@ -117,7 +116,7 @@
   stop ({ jobId, leaseId, reason, isCheckpoint, then }: CommandOf<'stop_job'>, at: LogPosition): CommandResult {
     const job = this.#jobs.get(jobId)
     if (job !== undefined && then === 'requeue' && !canRequeue(job)) {
-      return refuse('invalid_request', `job ${jobId} has started and may not be started again`)
+      return refuse('invalid_request', `job ${jobId} has started and cannot be started again`)
     }
     if (job?.phase === 'stopping' && (job.stop?.then !== 'requeue' || then === 'requeue')) return refuseWrongPhase(job)
     return this.#withLease(jobId, leaseId, ['preparing', 'starting', 'running', 'stopping'], placed => {
@@ -135,7 +134,7 @@
     })
   }
 
-  /** Ends a job; a placed one when it completed, or when it was stopped for this outcome. */
+  /** Ends a job. A placed job must have completed, or have been stopped for this outcome. */
   end ({ jobId, leaseId, outcome, reason }: CommandOf<'end_job'>, at: LogPosition): CommandResult {
     const job = this.#jobs.get(jobId)
     if (job !== undefined && !canEnd(job, outcome)) return refuseWrongPhase(job)
@@ -147,7 +146,7 @@
     })
   }
 
-  /** Forgets ended jobs that are too old or too many; each job is touched once. */
+  /** Removes ended jobs beyond the retention period or the maximum count. Amortised cost is constant per job. */
   removeExpired (logTimeMs: number): void {
     const { endedJobRetentionMs, maxEndedJobs } = this.#settings
     for (let jobId = this.#endedByAge.peek(); jobId !== undefined; jobId = this.#endedByAge.peek()) {
@@ -160,7 +159,7 @@
     }
   }
 
-  /** Puts back records of a snapshot, given in the order of their submission. */
+  /** Restores the records of a snapshot, which are in submission order. */
   restore (records: readonly JobRecord[]): void {
     for (const record of records) {
       this.#insert(record)
@@ -192,7 +191,7 @@
     if (job.placement !== null) this.allocations.release(job.spec.jobId, job.placement)
   }
 
-  /** Runs `apply` when the job is in one of the phases under this lease; a late or doubled command is refused. */
+  /** Runs `apply` if the job has this lease and one of the phases. Late and duplicate commands are refused. */
   #withLease (
     jobId: string,
     leaseId: number,
@@ -203,14 +202,14 @@
     if (job === undefined) return refuseUnknownJob(jobId)
     if (!phases.includes(job.phase)) return refuseWrongPhase(job)
     if (job.leaseId !== leaseId) {
-      return refuse('stale_term', `job ${jobId} has lease ${job.leaseId}, the command names ${leaseId}`)
+      return refuse('stale_term', `job ${jobId} has lease ${job.leaseId}, but the command is for lease ${leaseId}`)
     }
     apply(job)
     return done
   }
 
   #findPlacementError (spec: JobSpec, { tasks }: Placement): string | undefined {
-    if (tasks.length !== spec.tasks) return `${tasks.length} tasks are placed, the gang has ${spec.tasks}`
+    if (tasks.length !== spec.tasks) return `the placement has ${tasks.length} tasks, the job has ${spec.tasks}`
     const gangAllocations = new CellAllocations()
     const taskIndexes = new Set<number>()
     for (const task of tasks) {
@@ -218,7 +217,7 @@
       if (taskIndexes.has(task.taskIndex)) return `task ${task.taskIndex} is placed twice`
       if (task.acceleratorCount < spec.acceleratorsPerTask) return `task ${task.taskIndex} has too few accelerators`
       const conflict = gangAllocations.findConflict(task) ?? this.allocations.findConflict(task)
-      if (conflict !== undefined) return `accelerators of worker ${task.workerId} are held by job ${conflict.jobId}`
+      if (conflict !== undefined) return `accelerators of worker ${task.workerId} are allocated to job ${conflict.jobId}`
       taskIndexes.add(task.taskIndex)
       gangAllocations.allocate(spec.jobId, 0, { capacityClass: 'lent', reason: '', tasks: [task] })
     }
@@ -233,17 +232,17 @@
 }
 
 /**
- * Says whether a stopped job may wait for another start: a non-repeatable job starts once.
+ * Returns whether a stopped job may be requeued: a non-repeatable job starts at most once.
  *
  * @example
- * mayRequeue(job) // false for a started job with preemption 'none'
+ * canRequeue(job) // false for a started job with preemption 'none'
  */
 export function canRequeue (job: Pick<JobRecord, 'spec' | 'starts'>): boolean {
   return job.spec.preemption !== 'none' || job.starts === 0
 }
 
 /**
- * Says whether a submission repeats an earlier one, whatever the order of its fields.
+ * Returns whether two specifications have the same content, independent of the order of their fields.
  *
  * @example
  * isSameSpec(spec, { ...spec }) // true
@@ -253,7 +252,7 @@
 }
 
 /**
- * Gives what callers may see of a job.
+ * Converts a job to the view that callers get.
  *
  * @example
  * toJobView(record).phase // 'waiting'
@@ -263,7 +262,7 @@
   return { spec, phase, outcome, placement, starts, detail, submittedLogMs, changedLogMs }
 }
 
-/** Jobs by phase, so that a list of the waiting ones does not walk over the ended ones. */
+/** Index of jobs by phase, so that listing the waiting jobs does not iterate over the ended ones. */
 class PhaseIndex {
   readonly #idsByPhase: Record<JobPhase, Set<string>> = {
     waiting: new Set(),
@@ -298,5 +297,5 @@
 }
 
 function refuseDifferentSpec (jobId: string): CommandResult {
-  return refuse('job_exists', `job ${jobId} exists with other content`)
+  return refuse('job_exists', `job ${jobId} already exists with a different specification`)
 }
--- a/packages/control/src/leader-context.ts
+++ b/packages/control/src/leader-context.ts
@@ -1,4 +1,4 @@
-/** What the parts of the control leader share. */
+/** Dependencies shared by the components of the control leader. */
 import type { EventLog, Metrics } from '@comfreygrade/core'
 import type { OrderOutbox } from './order-outbox.js'
 import type { JobScheduler } from './ports.js'
@@ -7,7 +7,7 @@
 import type { ControlState } from './state.js'
 import type { WorkerLeases } from './worker-leases.js'
 
-/** Collaborators of one leader for one term. */
+/** Dependencies of one leader during its term. */
 export interface LeaderContext {
   readonly term: number
   readonly state: ControlState
--- a/packages/control/src/leader.ts
+++ b/packages/control/src/leader.ts
@@ -1,4 +1,4 @@
-/** The control leader: one per term, fed with events, answering with effects. */
+/** The control leader: one instance per term, which handles events and returns effects. */
 import type { EventLog, Metrics } from '@comfreygrade/core'
 import type { PlacementDecision } from '@comfreygrade/placement'
 import { DeadlineQueue, earliest } from './deadline-queue.js'
@@ -18,10 +18,10 @@
 import type { ControlSettings } from './settings.js'
 import type { ControlState } from './state.js'
 
-/** What a leader needs. The scheduler is a new one: the leader fills it from the state. */
+/** Dependencies of a leader. The scheduler must be empty: the leader initialises it from the state. */
 export interface ControlLeaderOptions {
   readonly term: number
-  /** Holds every entry that was committed before this term. */
+  /** Contains every entry that was committed before this term. */
   readonly state: ControlState
   readonly scheduler: JobScheduler
   readonly settings: ControlSettings
@@ -32,8 +32,8 @@
 type AppliedEvent = Extract<ControlEvent, { kind: 'applied' }>
 
 /**
- * Leads one term. The adapter applies each committed entry to the state first and then passes it on as `applied`, in
- * the order of the log and whoever proposed it.
+ * Leads the control nodes for one term. The adapter first applies each committed entry to the state and then passes it
+ * to the leader as an `applied` event, in log order and regardless of who proposed it.
  *
  * @example
  * const leader = new ControlLeader({ term, state, scheduler, settings, metrics, log })
@@ -47,7 +47,7 @@
   readonly #gangs: GangLifeCycle
   readonly #workers: WorkerService
   readonly #operations: OperationService
-  /** Waiting jobs whose end was proposed and not committed. */
+  /** By waiting job: time at which its end, whose proposal failed, is reconsidered. */
   readonly #endRetries = new DeadlineQueue()
   #isStarted = false
   #nextClockAtMs = 0
@@ -64,7 +64,7 @@
     this.#operations = new OperationService(this.#context, this.#schedulerDriver, this.#workers, this.#effects)
   }
 
-  /** Takes in one event and gives what has to be done, in order. The term starts with the first event. */
+  /** Handles an event and returns the effects to perform, in order. The first event starts the term. */
   handle (event: ControlEvent, nowMs: number): ControlEffect[] {
     if (!this.#isStarted) this.#start(nowMs)
     this.#dispatch(event, nowMs)
@@ -72,7 +72,7 @@
     return this.#takeEffects(nowMs)
   }
 
-  /** Time at which the leader wants a `tick` unless another event comes first. */
+  /** Time by which the leader needs its next event, at least a `tick`. */
   nextWakeAtMs (): number {
     if (!this.#isStarted) return 0
     return earliest([
@@ -86,7 +86,7 @@
     ]) ?? this.#nextClockAtMs
   }
 
-  /** Ends the term: everything that waits for an answer gets one. The leader is not used afterwards. */
+  /** Ends the term by answering every pending request. The leader must not be used afterwards. */
   close (nowMs: number): ControlEffect[] {
     for (const proposal of this.#context.proposals.takeAll()) this.#operations.onRejected(proposal, false, nowMs)
     this.#refusePendingReports()
@@ -188,7 +188,7 @@
     }
   }
 
-  /** Follows a committed command. Later entries may have been applied already, so the job's present phase counts. */
+  /** Reacts to a committed command. Later entries may already be applied, so the current phase of the job decides. */
   #onCommandCommitted (command: ControlCommand, index: number, nowMs: number): void {
     switch (command.kind) {
       case 'apply_configuration': this.#onConfigurationChanged(command, nowMs); break
@@ -218,7 +218,7 @@
     this.#gangs.onPlaced(job, nowMs)
   }
 
-  /** Lets a job wait; one that the inventory cannot hold any more is ended. */
+  /** Queues a waiting job in the scheduler; a job that no longer fits the inventory is ended. */
   #enqueue (job: JobRecord, nowMs: number): void {
     const problem = this.#schedulerDriver.submit(job.spec, nowMs)
     if (problem !== undefined) this.#proposeEnd(job.spec.jobId, 'refused', problem.detail, nowMs)
@@ -263,8 +263,8 @@
   }
 
   /**
-   * Puts a job whose placement did not take effect back among the waiting ones, or at the placement that did: one that
-   * was taken for rejected may have been committed after all.
+   * Requeues a job whose placement was not applied. A proposal reported as rejected may have been committed after all;
+   * then the scheduler is given the placement in the state.
    */
   #onPlacementNotApplied (jobId: string, nowMs: number): void {
     const job = this.#context.state.job(jobId)
--- a/packages/control/src/leadership-proof.ts
+++ b/packages/control/src/leadership-proof.ts
@@ -1,9 +1,9 @@
-/** Whether this leader may still renew leases. */
+/** Proof that this leader may still renew worker leases. */
 
 /**
- * A committed proposal proves that no later leader was elected before it was proposed, and that none is elected for an
- * election timeout after it. Without this proof a leader that was frozen could renew a lease after its successor began
- * to count it, and the successor would give the cell away too early.
+ * A committed proposal proves that no later leader was elected before it was proposed, and that none will be within one
+ * election time-out after that. Without the proof, a leader that resumes after a pause could renew a lease whose expiry
+ * its successor already counts, and the successor would allocate the cells again while they are in use.
  */
 export class LeadershipProof {
   readonly #validMs: number
@@ -13,12 +13,12 @@
     this.#validMs = validMs
   }
 
-  /** Notes that a proposal made at `proposedAtMs` was committed. */
+  /** Records that a proposal made at `proposedAtMs` was committed. */
   recordCommit (proposedAtMs: number): void {
     this.#provenAtMs = Math.max(this.#provenAtMs, proposedAtMs)
   }
 
-  /** Says whether a report received at `receivedAtMs` may be granted a lease at `nowMs`. */
+  /** Returns whether a report received at `receivedAtMs` may be answered with a lease at `nowMs`. */
   isValid (receivedAtMs: number, nowMs: number): boolean {
     return this.#provenAtMs >= receivedAtMs || nowMs <= this.#provenAtMs + this.#validMs
   }
--- a/packages/control/src/operation-service.ts
+++ b/packages/control/src/operation-service.ts
@@ -1,4 +1,4 @@
-/** Operations of entry VMs: reads are answered from the state, writes when their command is applied. */
+/** Operations of entry VMs. Reads are answered from the state, writes once their command is applied. */
 import { fail, failure, succeed, type Failure, type JobExplanation, type JobSpec } from '@comfreygrade/core'
 import { isGrantable } from './claims.js'
 import { isSameSpec, toJobView, type JobRecord } from './jobs.js'
@@ -12,17 +12,17 @@
 
 type OperationOf<Kind extends ControlOperation['kind']> = Extract<ControlOperation, { kind: Kind }>
 
-/** What an operation leads to at once: an answer, a command to commit, or an answer that comes later. */
+/** Immediate outcome of an operation: an answer, a refusal, a command to propose, or an answer given later. */
 type OperationDecision =
   | { readonly kind: 'answer', readonly answer: ControlAnswer }
   | { readonly kind: 'refuse', readonly failure: Failure }
   | { readonly kind: 'propose', readonly command: ControlCommand }
   | { readonly kind: 'later' }
 
-/** A decision that is refused because the job moved on is taken anew this often. */
+/** Attempts at a cancellation whose command was refused because the job had changed since the decision. */
 const MAX_ATTEMPTS = 4
 
-/** Answers operations under this leader. */
+/** Handles the operations of one leader. */
 export class OperationService {
   readonly #context: LeaderContext
   readonly #schedulerDriver: SchedulerDriver
@@ -41,7 +41,6 @@
     this.#effects = effects
   }
 
-  /** Answers an operation, or proposes its command. */
   handle (requestId: string, operation: ControlOperation, nowMs: number, attempt = 1): void {
     const decision = this.#decide(requestId, operation, nowMs)
     switch (decision.kind) {
@@ -56,7 +55,7 @@
     }
   }
 
-  /** Answers an operation whose command was applied. */
+  /** Answers an operation whose command was applied, or refused by the state. */
   onApplied ({ purpose, command }: Proposal, result: CommandResult, nowMs: number): void {
     if (purpose.kind !== 'operation') return
     const { requestId, operation, attempt } = purpose
@@ -71,18 +70,18 @@
     this.reply(requestId, succeed(this.#answerApplied(operation, result)))
   }
 
-  /** Answers an operation whose command was rejected; without certainty it may still take effect. */
+  /** Answers an operation whose proposal was rejected. Unless `isNotApplied`, the command may still take effect. */
   onRejected ({ purpose, command }: Proposal, isNotApplied: boolean, nowMs: number): void {
     if (purpose.kind !== 'operation') return
     if (command.kind === 'submit_job') this.#withdrawUnsubmitted(command.spec, nowMs)
     const cause = isNotApplied
-      ? failure('control_unavailable', 'leadership changed before the change was taken')
-      : failure('outcome_unknown', 'leadership changed before the change was known to be committed')
+      ? failure('control_unavailable', 'leadership changed and the command was not applied')
+      : failure('outcome_unknown', 'leadership changed before the command was known to be committed')
     this.reply(purpose.requestId, { ok: false, failure: cause })
   }
 
   reply (requestId: string, result: ControlResult): void {
-    // Named apart from `refusal`, which the node that the caller asked counts for the same operation.
+    // Not `refusal`: the node that received the request counts the same operation under that name.
     if (!result.ok) this.#context.metrics.increment('control_refusal', { kind: result.failure.kind })
     this.#effects.push({ kind: 'reply', requestId, result })
   }
@@ -108,13 +107,13 @@
     }
   }
 
-  /** A shape that no inventory could hold is refused here, so that it never enters the log. */
+  /** Refuses a job shape that the inventory cannot hold, so that it never enters the log. */
   #submit (spec: JobSpec, nowMs: number): OperationDecision {
     const existing = this.#context.state.job(spec.jobId)
     if (existing !== undefined) {
       return isSameSpec(existing.spec, spec)
         ? answer({ kind: 'job', job: toJobView(existing) })
-        : refuse(failure('job_exists', `job ${spec.jobId} exists with other content`))
+        : refuse(failure('job_exists', `job ${spec.jobId} already exists with a different specification`))
     }
     if (!this.#context.state.configuration.organisations.has(spec.organisationId)) {
       return refuse(failure('unknown_organisation', `organisation ${spec.organisationId} is not in the inventory`))
@@ -181,7 +180,7 @@
 
   #leaveWorker (workerId: string): OperationDecision {
     const worker = this.#context.state.worker(workerId)
-    if (worker === undefined) return refuse(failure('not_found', `worker ${workerId} is not known`))
+    if (worker === undefined) return refuse(failure('not_found', `worker ${workerId} is unknown`))
     return worker.state === 'draining'
       ? answer({ kind: 'done' })
       : propose({ kind: 'worker_state', ...worker, state: 'draining' })
@@ -201,7 +200,7 @@
     return { kind: 'configuration', version, document }
   }
 
-  /** The node adapter adds what entry VMs acknowledged. */
+  /** The node adapter adds the versions that entry VMs acknowledged. */
   #configurationStatus (): ControlAnswer {
     const { version } = this.#context.state.configuration
     return { kind: 'configuration_status', status: { version, isInForceEverywhere: false, nodes: [] } }
@@ -237,7 +236,7 @@
     }
     return existing.digest === digest
       ? answer({ kind: 'claim', granted: false, claim })
-      : refuse(failure('key_reused', `idempotency key ${key} was used for a request with other content`))
+      : refuse(failure('key_reused', `idempotency key ${key} was already used for a request with different content`))
   }
 
   #getClaim ({ organisationId, key }: OperationOf<'get_claim'>): OperationDecision {
--- a/packages/control/src/operations.ts
+++ b/packages/control/src/operations.ts
@@ -1,4 +1,4 @@
-/** What entry VMs ask of the control leader, and its answers. */
+/** Operations that entry VMs send to the control leader, and its answers. */
 import type {
   BackendServerRecord, ConfigurationChange, ConfigurationDocument, Failure, JobExplanation, JobOutcome, JobPhase,
   JobSpec, Placement, WorkerReport, WorkerState
@@ -8,14 +8,14 @@
 /** State of a claim of a non-repeatable request. */
 export type ClaimState = 'pending' | 'completed' | 'not_run' | 'unknown'
 
-/** Recorded answer of a completed non-repeatable request; opaque to control. */
+/** Recorded response to a completed non-repeatable request; opaque to the control nodes. */
 export interface RecordedAnswer {
   readonly status: number
   readonly contentType: string
   readonly body: Uint8Array
 }
 
-/** A claim as callers may ask for it. */
+/** A claim as callers see it. */
 export interface ClaimView {
   readonly organisationId: string
   readonly key: string
@@ -29,9 +29,9 @@
   readonly phase: JobPhase
   readonly outcome: JobOutcome | null
   readonly placement: Placement | null
-  /** Starts of the whole gang so far. */
+  /** Number of times the gang was started. */
   readonly starts: number
-  /** One sentence about the last change of phase. */
+  /** Reason for the last change of phase. */
   readonly detail: string
   readonly submittedLogMs: number
   readonly changedLogMs: number
@@ -45,23 +45,23 @@
   readonly tasks: number
 }
 
-/** What can be drained. */
+/** Kinds of resources that can be drained. */
 export type DrainKind = 'vm' | 'worker' | 'backend-server'
 
-/** A drain that an operator asked for. */
+/** A resource that an operator drained. */
 export interface Drain {
   readonly kind: DrainKind
   readonly id: string
 }
 
-/** How far a configuration has spread. */
+/** Propagation of a configuration to the nodes. */
 export interface ConfigurationStatus {
   readonly version: number
   readonly isInForceEverywhere: boolean
   readonly nodes: ReadonlyArray<{
     readonly nodeId: string
     readonly acknowledgedVersion: number
-    /** Whether the node may still answer from what it acknowledged. */
+    /** Whether the node may still serve requests under the version that it acknowledged. */
     readonly hasLease: boolean
   }>
 }
@@ -85,9 +85,9 @@
     readonly kind: 'claim_request'
     readonly organisationId: string
     readonly key: string
-    /** Digest of service, path and body: the same key with other content is refused. */
+    /** Digest of service, path and body; a key is refused if it was used with another digest. */
     readonly digest: string
-    /** Identifies one request of one node; a repeat by the same claimant is granted again. */
+    /** Identifies one request of one node. A pending claim is granted again to its own claimant. */
     readonly claimantId: string
   }
   | {
@@ -105,7 +105,7 @@
   | { readonly kind: 'job', readonly job: JobView }
   | { readonly kind: 'jobs', readonly jobs: readonly JobView[], readonly total: number }
   | { readonly kind: 'explanation', readonly explanation: JobExplanation }
-  /** `leaseMs` counts from when the worker sent its report; `stopTasks` are not known to the leader any more. */
+  /** `leaseMs` counts from the sending of the report; `stopTasks` are reported tasks without an allocation. */
   | {
     readonly kind: 'worker_lease'
     readonly term: number
@@ -122,11 +122,10 @@
     readonly drains: readonly Drain[]
     readonly backendServers: readonly BackendServerRecord[]
   }
-  /** `granted` allows exactly one dispatch; otherwise the claim existed before. */
+  /** `granted` permits exactly one dispatch; without it, `claim` is the existing claim. */
   | { readonly kind: 'claim', readonly granted: boolean, readonly claim: ClaimView }
   | { readonly kind: 'done' }
 
-/** Result of an operation: an answer or a failure. */
 export type ControlResult =
   | { readonly ok: true, readonly value: ControlAnswer }
   | { readonly ok: false, readonly failure: Failure }
--- a/packages/control/src/order-outbox.ts
+++ b/packages/control/src/order-outbox.ts
@@ -1,13 +1,13 @@
-/** Orders on their way to workers: one message at a time for each worker, resent by whoever placed the order. */
+/** Outbox for orders to workers, with at most one message in flight per worker. Callers retry orders themselves. */
 import { DeadlineQueue } from './deadline-queue.js'
 import type { ControlEffect, OrderResult, WorkerOrder } from './orders.js'
 import type { ControlSettings } from './settings.js'
 import type { WorkerSession } from './worker-leases.js'
 
-/** An order before it is addressed. */
+/** An order without the fields that are added when it is sent. */
 export type TaskOrder = Omit<WorkerOrder, 'incarnation' | 'leaseMs'>
 
-/** What became of one order; `failed` means that it may or may not have arrived. */
+/** Outcome of one order. After `failed` it is unknown whether the order arrived. */
 export interface OrderOutcome {
   readonly workerId: string
   readonly order: TaskOrder
@@ -20,9 +20,8 @@
   readonly orders: readonly TaskOrder[]
 }
 
-/** Orders for one worker. */
 interface WorkerQueue {
-  /** By task, so that a later order for a task replaces one that was not sent yet. */
+  /** By task: a new order for a task replaces its unsent one. */
   readonly unsent: Map<string, TaskOrder>
   inFlight: OrderMessage | undefined
   failures: number
@@ -37,7 +36,7 @@
   readonly #queues = new Map<string, WorkerQueue>()
   readonly #messages = new Map<string, OrderMessage>()
   readonly #readyWorkers = new Set<string>()
-  /** By worker: end of the wait for an answer, or of the pause before a retry. */
+  /** By worker: time-out of the message in flight, or end of the back-off. */
   readonly #timers = new DeadlineQueue()
   #messageCount = 0
 
@@ -47,21 +46,21 @@
     this.#findSession = findSession
   }
 
-  /** Queues an order; it replaces an earlier one for the same task that was not sent yet. */
+  /** Queues an order, which replaces an unsent one for the same task. */
   add (workerId: string, order: TaskOrder): void {
     const queue = this.#queueFor(workerId)
     queue.unsent.set(orderKey(order), order)
     this.#readyWorkers.add(workerId)
   }
 
-  /** Drops what was not sent for a task, except a `stop`, which also ends a hold that nobody waits for. */
+  /** Discards the unsent order of a task. A `stop` is kept: the worker may still hold the cell. */
   drop (workerId: string, leaseId: number, taskIndex: number): void {
     const unsent = this.#queues.get(workerId)?.unsent
     const key = orderKey({ leaseId, taskIndex })
     if (unsent?.get(key)?.kind !== 'stop') unsent?.delete(key)
   }
 
-  /** Drops everything for a worker that is gone; answers that still arrive are ignored. */
+  /** Discards all orders for a worker that is gone; answers that arrive later are ignored. */
   dropWorker (workerId: string): void {
     const queue = this.#queues.get(workerId)
     if (queue?.inFlight !== undefined) this.#messages.delete(queue.inFlight.orderId)
@@ -71,8 +70,8 @@
   }
 
   /**
-   * Takes in the answer to a message; a late answer gives nothing. A worker that refuses is left alone for a growing
-   * pause too, because its refusals arrive as fast as the orders are resent.
+   * Handles the answer to a message; one that arrives after the time-out has no outcomes. Refusals also cause an
+   * exponential back-off: without it a refused order would be resent in a tight loop.
    */
   onAnswered (orderId: string, results: readonly OrderResult[], nowMs: number): OrderOutcome[] {
     const message = this.#finish(orderId)
@@ -83,7 +82,7 @@
       ({ workerId: message.workerId, order, result: results[position] ?? 'failed' }))
   }
 
-  /** Takes in that a message was not answered; the worker is left alone for a growing pause. */
+  /** Handles a message without an answer; sending to the worker backs off exponentially. */
   onFailed (orderId: string, nowMs: number): OrderOutcome[] {
     const message = this.#finish(orderId)
     if (message === undefined) return []
@@ -91,7 +90,7 @@
     return message.orders.map(order => ({ workerId: message.workerId, order, result: 'failed' }))
   }
 
-  /** Ends waits and pauses; gives the orders of messages that were not answered in time. */
+  /** Ends elapsed back-offs and times out messages; returns the outcomes of their orders. */
   tick (nowMs: number): OrderOutcome[] {
     const outcomes: OrderOutcome[] = []
     for (const workerId of this.#timers.takeDue(nowMs)) {
@@ -102,7 +101,7 @@
     return outcomes
   }
 
-  /** Gives the messages that can be sent now. */
+  /** Returns the messages that can be sent now. */
   flush (nowMs: number): ControlEffect[] {
     const effects: ControlEffect[] = []
     for (const workerId of this.#readyWorkers) {
--- a/packages/control/src/pending-proposals.ts
+++ b/packages/control/src/pending-proposals.ts
@@ -1,25 +1,24 @@
-/** Commands that the leader proposed and whose outcome is not known yet. */
+/** Commands proposed by the leader whose outcome is not known yet. */
 import type { ControlCommand } from './commands.js'
 import type { ControlOperation } from './operations.js'
 import type { ControlEffect } from './orders.js'
 
-/** Operations that are answered when a command is applied. */
+/** Operations that are answered once their command is applied. */
 export type WriteOperation = Extract<ControlOperation, {
   kind: 'submit_job' | 'cancel_job' | 'leave_worker' | 'apply_change' | 'drain' | 'undrain' | 'claim_request' | 'settle_claim'
 }>
 
-/** What a proposal is for. */
+/** Purpose of a proposal, which decides what handles its outcome. */
 export type ProposalPurpose =
   | { readonly kind: 'operation', readonly requestId: string, readonly operation: WriteOperation, readonly attempt: number }
   | { readonly kind: 'gang', readonly jobId: string, readonly leaseId: number }
   | { readonly kind: 'placement', readonly jobId: string }
   | { readonly kind: 'waiting_job', readonly jobId: string }
   | { readonly kind: 'worker', readonly workerId: string }
-  /** Proves leadership for reports that wait for a lease. */
+  /** Proves leadership for reports that wait for their answer. */
   | { readonly kind: 'proof' }
   | { readonly kind: 'clock' }
 
-/** A proposal in flight. */
 export interface Proposal {
   readonly proposalId: string
   readonly command: ControlCommand
@@ -27,7 +26,7 @@
   readonly proposedAtMs: number
 }
 
-/** Numbers and remembers proposals of one term. */
+/** Issues and tracks the proposals of one term. */
 export class PendingProposals {
   readonly #term: number
   readonly #effects: ControlEffect[]
@@ -50,14 +49,14 @@
     this.#effects.push({ kind: 'propose', proposalId, command })
   }
 
-  /** Removes and gives a proposal of this leader; undefined for one of another leader, or one answered before. */
+  /** Removes and returns a proposal; undefined if another leader made it or its outcome was already handled. */
   take (proposalId: string): Proposal | undefined {
     const proposal = this.#proposals.get(proposalId)
     this.#proposals.delete(proposalId)
     return proposal
   }
 
-  /** Removes and gives all proposals. */
+  /** Removes and returns all proposals. */
   takeAll (): Proposal[] {
     const proposals = [...this.#proposals.values()]
     this.#proposals.clear()
--- a/packages/control/src/ports.ts
+++ b/packages/control/src/ports.ts
@@ -1,36 +1,36 @@
-/** Ports of the control package to placement. */
+/** Ports of the control package to the placement scheduler. */
 import type { Configuration, Failure, JobExplanation, JobSpec, Placement } from '@comfreygrade/core'
 import type { FleetReport, PlacementDecision, ReclaimCheck } from '@comfreygrade/placement'
 
-/** Decides whether an inventory can hold every guarantee at once. Must be deterministic: every replica asks it. */
+/** Checks whether an inventory can satisfy all guarantees at once. Must be deterministic: every replica calls it. */
 export abstract class GuaranteeValidator {
-  /** Gives the failure `guarantee_unsatisfiable`, or undefined when all guarantees fit. */
+  /** Returns a failure of the kind `guarantee_unsatisfiable`, or undefined if all guarantees can be satisfied. */
   abstract validate (configuration: Configuration): Failure | undefined
 }
 
 /**
- * The gang scheduler as the control leader uses it.
+ * Gang scheduler as seen by the control leader.
  *
- * The scheduler knows a job from `submit` or `restore` until `cancel`, `ended` or `reclaimed`. None of these three
- * makes it wait again; a requeued job is submitted anew. All of them ignore a job that is not known.
+ * The scheduler tracks a job from `submit` or `restore` until `cancel`, `ended` or `reclaimed`. None of these three
+ * requeues the job: the leader submits a requeued job again. All three ignore an unknown job.
  */
 export abstract class JobScheduler {
-  /** Replaces the inventory; joined workers and placed jobs stay. */
+  /** Replaces the configuration; joined workers and placed jobs are kept. */
   abstract applyConfiguration (configuration: Configuration): void
-  /** Makes a worker available; ends an earlier loss or drain. */
+  /** Makes a worker available again after any loss or drain. */
   abstract workerJoined (workerId: string, nowMs: number): void
   abstract workerLost (workerId: string, nowMs: number): void
   /** Stops new placements on a worker until it joins again. */
   abstract drainWorker (workerId: string): void
   abstract submit (job: JobSpec, nowMs: number): Failure | undefined
-  /** Adds a job that is already placed, after a change of leader; some of its workers may not be joined. */
+  /** Adds a job that is already placed, for example after a change of leader. Its workers may not have joined. */
   abstract restore (job: JobSpec, placement: Placement, startedMs: number): void
-  /** Removes a waiting job. */
+  /** Removes a job without recording its run time. */
   abstract cancel (jobId: string, nowMs: number): void
   abstract taskFailed (jobId: string, workerId: string, nowMs: number): void
-  /** All leases of a placed job are released. */
+  /** Removes a placed job whose tasks are all released. */
   abstract ended (jobId: string, nowMs: number): void
-  /** All leases of a job that the scheduler asked to leave are released. */
+  /** Removes a placed job that the scheduler reclaimed, once its tasks are all released. */
   abstract reclaimed (jobId: string, nowMs: number): void
   abstract pass (nowMs: number): PlacementDecision[]
   abstract explain (jobId: string, nowMs: number): JobExplanation
--- a/packages/control/src/scheduler-driver.ts
+++ b/packages/control/src/scheduler-driver.ts
@@ -1,4 +1,4 @@
-/** Keeps the scheduler in step with the replicated state and decides when a pass runs. */
+/** Keeps the scheduler consistent with the replicated state and decides when a scheduling pass runs. */
 import type { Failure, JobSpec } from '@comfreygrade/core'
 import type { PlacementDecision } from '@comfreygrade/placement'
 import type { JobRecord } from './jobs.js'
@@ -6,7 +6,7 @@
 
 type SchedulerPhase = 'waiting' | 'placed'
 
-/** The scheduler with what it was told, so that nothing is told twice. */
+/** Tracks which jobs the scheduler knows, so that each change is passed on once. */
 export class SchedulerDriver {
   readonly #context: LeaderContext
   readonly #phases = new Map<string, SchedulerPhase>()
@@ -17,17 +17,17 @@
     this.#context = context
   }
 
-  /** Asks for a pass because something changed. */
+  /** Requests a pass after a change that may affect placement. */
   requestPass (): void {
     this.#isPassRequested = true
   }
 
-  /** Says whether the scheduler has placed a job, committed or not. */
+  /** Returns whether the scheduler has placed a job, committed or not. */
   isPlaced (jobId: string): boolean {
     return this.#phases.get(jobId) === 'placed'
   }
 
-  /** Lets a job wait for a placement. */
+  /** Submits a waiting job unless the scheduler knows it; returns why it was refused. */
   submit (spec: JobSpec, nowMs: number): Failure | undefined {
     if (this.#phases.has(spec.jobId)) return undefined
     const problem = this.#context.scheduler.submit(spec, nowMs)
@@ -37,7 +37,7 @@
     return undefined
   }
 
-  /** Takes in that a placement was committed; one that the scheduler did not decide in this term is restored. */
+  /** Handles a committed placement. One that the scheduler did not decide in this term is restored into it. */
   onPlaced (job: JobRecord, nowMs: number): void {
     const { jobId } = job.spec
     if (this.#phases.get(jobId) === 'placed' || job.placement === null) return
@@ -49,14 +49,14 @@
     this.requestPass()
   }
 
-  /** Takes in that a job left the scheduler: it ended, or its cells are released. */
+  /** Removes a job from the scheduler, because it ended, its cells were released, or its proposal failed. */
   onRemoved (jobId: string, isReclaimed: boolean, nowMs: number): void {
     const phase = this.#phases.get(jobId)
     if (phase === undefined) return
     this.#phases.delete(jobId)
     const { scheduler } = this.#context
     const outcome = this.#context.state.job(jobId)?.outcome ?? null
-    // A run that was cut short must not be taken for the run time of its class.
+    // The duration of a run that ended early must not count as a run time of the job class.
     const hasEndedEarly = outcome !== null && outcome !== 'completed'
     if (phase === 'waiting' || hasEndedEarly) scheduler.cancel(jobId, nowMs)
     if (phase === 'waiting') return this.requestPass()
@@ -65,7 +65,7 @@
     this.requestPass()
   }
 
-  /** Runs a pass when something changed, or when jobs wait and time alone may have changed the result. */
+  /** Runs a pass if one was requested, or if jobs wait and the passage of time may change the result. */
   runPass (nowMs: number): PlacementDecision[] {
     if (nowMs < this.nextWakeAtMs()) return []
     this.#isPassRequested = false
--- a/packages/control/src/settings.ts
+++ b/packages/control/src/settings.ts
@@ -1,81 +1,84 @@
-/** Numbers of the control state and of the control leader. */
+/** Settings of the control state and of the control leader. */
 
 /**
- * Bounds of the replicated state. Every replica must use the same values: they decide what `apply` answers, so replicas
- * with different values would diverge.
+ * Limits of the replicated state. All replicas must use the same values, because the result of `apply` depends on them
+ * and replicas with different values would diverge.
  */
 export interface ControlStateSettings {
-  /** How long a claim is kept after both its commit and its key's time of issue. */
+  /** How long a claim is kept after the later of its commit and its key's time of issue. */
   readonly claimRetentionMs: number
-  /** How far a key's time of issue may lie after log time, which lags by every gap between two leaders. */
+  /** How far a key's time of issue may be ahead of log time, which falls behind during every gap between leaders. */
   readonly claimMaxAheadMs: number
-  /** Larger answers are not recorded; the claim is settled without one. */
+  /** Maximum body size of a recorded answer; a claim with a larger one is settled without it. */
   readonly claimAnswerMaxBytes: number
-  /** Total of recorded answers; the oldest ones are dropped first. */
+  /** Maximum total size of recorded answers; the oldest are evicted first. */
   readonly claimAnswersTotalMaxBytes: number
   readonly maxClaims: number
   readonly maxClaimsPerOrganisation: number
   readonly endedJobRetentionMs: number
   readonly maxEndedJobs: number
-  /** Jobs that have not ended. */
+  /** Maximum number of jobs that have not ended. */
   readonly maxOpenJobs: number
   readonly maxOpenJobsPerOrganisation: number
-  /** Recent configuration changes kept for the feed. */
+  /** Recent configuration changes kept for the configuration feed. */
   readonly maxRecentChanges: number
-  /** Records in all recent changes together, so that one large change does not stay in memory with many others. */
+  /** Maximum number of records in all recent changes together, which bounds memory when changes are large. */
   readonly maxRecentChangeRecords: number
-  /** Versions whose digest is kept, so that a resent change gets its first answer. */
+  /** Number of versions whose digest is kept, so that a resent change gets the same answer again. */
   readonly maxChangeDigests: number
   readonly maxDrains: number
 }
 
-/** Timing of the control leader. */
+/** Timing and limits of the control leader. */
 export interface ControlSettings {
-  /** Lease of a worker, counted from when it sent the report that renewed it. */
+  /** Duration of a worker lease, counted from the sending of the report that renewed it. */
   readonly leaseMs: number
-  /** Greatest difference in rate between two monotonic clocks. */
+  /** Maximum relative difference in rate between two monotonic clocks. */
   readonly clockRateBound: number
   /**
-   * How long a committed proposal proves leadership, counted from when it was proposed. It must be below the shortest
-   * election timeout, because a new leader counts the leases that it did not grant from the start of its own term.
+   * How long a committed proposal proves leadership, counted from when it was proposed. Must be below the shortest
+   * election time-out, because a new leader counts the leases that it did not grant from the start of its own term.
    */
   readonly leadershipValidMs: number
-  /** Time in which all workers of a gang must accept `prepare`. */
+  /** Time within which all workers of a gang must accept `prepare`. */
   readonly prepareTimeoutMs: number
   /**
-   * How long a gang that never started waits for its workers to confirm that they released it. No `start` was sent
-   * under its lease and none follows, so after this time it may be placed again; a worker that still holds a cell
-   * refuses to give it to another. Far below the 5.1 s within which urgent work starts, so that a silent worker
-   * does not hold up an urgent gang for a whole lease.
+   * How long a gang that never started waits for its workers to confirm the release. No `start` was or will be sent
+   * under its lease, so after this time the gang may be placed again; a worker that still holds a cell refuses to
+   * prepare another task on it. Must be far below the 5.1 s within which urgent jobs have to start, so that a silent
+   * worker does not delay an urgent gang for a whole lease.
    */
   readonly unstartedReleaseWaitMs: number
-  /** An order without any answer for this long counts as failed. */
+  /** An order that is not answered within this time counts as failed. */
   readonly orderTimeoutMs: number
   readonly orderRetryMs: number
   readonly maxOrderRetryMs: number
   readonly maxOrdersPerMessage: number
-  /** Time between two attempts to commit a decision that was rejected. */
+  /** Delay before a command whose proposal was not applied is reconsidered. */
   readonly proposalRetryMs: number
-  /** Least time between two scheduling passes, so that a burst of events shares one pass. */
+  /** Minimum time between two scheduling passes, so that a burst of events causes a single pass. */
   readonly minPassIntervalMs: number
-  /** Time between two passes while jobs wait, for decisions that depend on time alone, such as backfilling. */
+  /** Time between two passes while jobs wait, for decisions that depend only on time, such as backfilling. */
   readonly idlePassIntervalMs: number
-  /** First exclusion of a worker that refused a placement or did not answer; doubles up to `maxWorkerHoldMs`. */
+  /**
+   * First period for which a worker that refused a placement or did not answer is excluded from new placements. It
+   * doubles with each exclusion up to `maxWorkerHoldMs`.
+   */
   readonly workerHoldMs: number
   readonly maxWorkerHoldMs: number
-  /** Time before the end of `reclaimWithinMs` at which a checkpoint that is not finished is stopped. */
+  /** How long before the end of `reclaimWithinMs` an unfinished checkpoint is replaced by a stop. */
   readonly reclaimStopMarginMs: number
-  /** Longest time without a command, so that log time advances and claims are forgotten. */
+  /** Maximum time without a command; bounds the lag of log time and thereby the expiry of claims. */
   readonly clockIntervalMs: number
 }
 
 const HOUR_MS = 3_600_000
 const MIB_BYTES = 1024 * 1024
 
-/** Defaults of the replicated state, sized for the two-year target of the design page. */
+/** Default limits of the replicated state, sized for the two-year target in the design page. */
 export const defaultControlStateSettings: ControlStateSettings = {
   claimRetentionMs: 24 * HOUR_MS,
-  // Log time stands still while no leader is elected, so it falls behind wall time by the sum of all outages.
+  // Log time does not advance without a leader, so it lags behind wall time by the total duration of such outages.
   claimMaxAheadMs: 30 * 24 * HOUR_MS,
   claimAnswerMaxBytes: 4096,
   claimAnswersTotalMaxBytes: 32 * MIB_BYTES,
--- a/packages/control/src/state.ts
+++ b/packages/control/src/state.ts
@@ -1,4 +1,4 @@
-/** The replicated state of the control nodes. */
+/** Replicated state of the control nodes. */
 import {
   toDocument, type Configuration, type ConfigurationChange, type ConfigurationDocument, type JobPhase, type Placement
 } from '@comfreygrade/core'
@@ -14,29 +14,30 @@
 import type { GuaranteeValidator } from './ports.js'
 import type { ControlStateSettings } from './settings.js'
 
-/** The whole state as plain data; adapters encode it. Records are shared with the state and never change. */
+/** Snapshot of the whole state as plain data, which adapters encode. Its records are shared with the live state. */
 export interface ControlSnapshot {
   readonly formatVersion: 1
   readonly lastIndex: number
   readonly logTimeMs: number
   readonly configuration: ConfigurationSnapshot
-  /** In the order of their submission. */
+  /** In submission order. */
   readonly jobs: readonly JobRecord[]
-  /** In the order of their commits. */
+  /** In commit order. */
   readonly claims: readonly ClaimRecord[]
   readonly workers: readonly WorkerRecord[]
   readonly drains: readonly Drain[]
 }
 
-/** What a state needs besides its commands; the same on every replica. */
+/** Dependencies of the state, which must be the same on every replica. */
 export interface ControlStateOptions {
   readonly settings: ControlStateSettings
   readonly validator: GuaranteeValidator
 }
 
 /**
- * Deterministic state machine behind the log: the same commands at the same positions give the same state and results.
- * A command whose precondition does not hold is refused and changes nothing but log time.
+ * Deterministic state machine driven by the replicated log: the same commands at the same log positions produce the
+ * same state and results. A command whose precondition does not hold is refused; it advances log time and the expiry
+ * of records, and changes nothing else.
  *
  * @example
  * const state = new ControlState({ settings: defaultControlStateSettings, validator })
@@ -59,7 +60,7 @@
   }
 
   /**
-   * Builds the state that a snapshot was taken of.
+   * Restores a state from its snapshot.
    *
    * @example
    * const copy = ControlState.restore(state.snapshot(), options)
@@ -76,9 +77,9 @@
     return state
   }
 
-  /** Applies the command of one log entry. Entries are given once each, in the order of the log. */
+  /** Applies the command of one log entry. Each entry must be applied once, in log order. */
   apply (command: ControlCommand, index: number, logTimeMs: number): CommandResult {
-    if (index <= this.#lastIndex) throw new RangeError(`entry ${index} is applied after entry ${this.#lastIndex}`)
+    if (index <= this.#lastIndex) throw new RangeError(`log entry ${index} cannot be applied after entry ${this.#lastIndex}`)
     this.#lastIndex = index
     this.#logTimeMs = Math.max(this.#logTimeMs, logTimeMs)
     this.#claims.removeExpired(this.#logTimeMs)
@@ -87,7 +88,6 @@
     return result
   }
 
-  /** Gives the state as plain data. */
   snapshot (): ControlSnapshot {
     return {
       formatVersion: 1,
@@ -109,22 +109,22 @@
     return this.#logTimeMs
   }
 
-  /** Inventory and rules in force. */
+  /** The inventory and rules in force. */
   get configuration (): Configuration {
     return this.#configurationHistory.current
   }
 
-  /** Inventory and rules as the document that operators edit. */
+  /** Returns the inventory and rules as the document that operators edit. */
   configurationDocument (): { version: number, document: ConfigurationDocument } {
     return { version: this.configuration.version, document: toDocument(this.configuration) }
   }
 
-  /** Changes after `version`; undefined when a full copy is needed. */
+  /** Returns the configuration changes after `version`, or undefined if a full copy is needed. */
   changesSince (version: number): ConfigurationChange[] | undefined {
     return this.#configurationHistory.changesSince(version)
   }
 
-  /** Finds out what a change would do, without applying it. */
+  /** Validates a configuration change without applying it. */
   checkChange (change: ConfigurationChange): ChangeCheck {
     return this.#configurationHistory.check(change)
   }
@@ -133,7 +133,7 @@
     return this.#jobs.get(jobId)
   }
 
-  /** All jobs in the order of their submission, ended ones included while they are kept. */
+  /** Returns all jobs in submission order, including ended ones within their retention period. */
   jobs (): IterableIterator<JobRecord> {
     return this.#jobs.records()
   }
@@ -146,14 +146,14 @@
     return this.#claims.get(organisationId, key)
   }
 
-  /** What callers may see of a claim now. */
+  /** Returns the view of a claim that callers get at the current log time. */
   claimView (organisationId: string, key: string): ClaimView | undefined {
     const record = this.#claims.get(organisationId, key)
     const { maxDeadlineMs } = this.configuration.rules
     return record === undefined ? undefined : toClaimView(record, this.#logTimeMs, maxDeadlineMs)
   }
 
-  /** Says why a key could not be claimed now; undefined when it could. */
+  /** Returns why a key cannot be claimed at the current log time, or undefined if it can. */
   checkKey (key: string): ReturnType<ClaimTable['checkKey']> {
     return this.#claims.checkKey(key, this.#logTimeMs)
   }
@@ -170,7 +170,7 @@
     return this.#workers.records()
   }
 
-  /** Cells held on a worker by placed jobs. */
+  /** Returns the cells of a worker that are allocated to placed jobs. */
   cellsOn (workerId: string): readonly CellAllocation[] {
     return this.#jobs.allocations.onWorker(workerId)
   }
@@ -260,7 +260,7 @@
       : refuseUnknownOrganisation(command.organisationId)
   }
 
-  /** Runs a command that may release a job's cells, and forgets removed workers that held only these. */
+  /** Applies a command that may release the cells of a job, and deletes removed workers that have no cells left. */
   #applyRelease (jobId: string, apply: () => CommandResult): CommandResult {
     const tasks = this.#jobs.get(jobId)?.placement?.tasks ?? []
     const result = apply()
--- a/packages/control/src/worker-availability.ts
+++ b/packages/control/src/worker-availability.ts
@@ -1,11 +1,11 @@
-/** Which workers the scheduler may place on. */
+/** Availability of workers for new placements. */
 import { DeadlineQueue } from './deadline-queue.js'
 import type { LeaderContext } from './leader-context.js'
 import type { SchedulerDriver } from './scheduler-driver.js'
 
 type SchedulerAvailability = 'available' | 'draining' | 'lost'
 
-/** Tells the scheduler of each change of a worker once. */
+/** Derives the availability of each worker and notifies the scheduler of changes. */
 export class WorkerAvailability {
   readonly #context: LeaderContext
   readonly #schedulerDriver: SchedulerDriver
@@ -18,7 +18,7 @@
     this.#schedulerDriver = schedulerDriver
   }
 
-  /** Compares a worker with what the scheduler was told, and tells it the difference. */
+  /** Notifies the scheduler if the availability of a worker differs from the one last reported. */
   refresh (workerId: string, nowMs: number): void {
     const availability = this.#availabilityOf(workerId)
     if ((this.#reported.get(workerId) ?? 'lost') === availability) return
@@ -29,8 +29,9 @@
   }
 
   /**
-   * Keeps new placements off a worker that refused one or did not answer, for a time that doubles. Such a worker does
-   * not count as a failure of the job: when a rack fails, a gang meets several of them, and no task ran.
+   * Excludes a worker that refused a placement or did not answer from new ones, for a period that doubles each time.
+   * This does not count as a failure of the job: no task ran, and after a rack failure one gang may encounter several
+   * such workers.
    */
   exclude (workerId: string, nowMs: number): void {
     if (this.#exclusions.get(workerId) !== undefined) return
@@ -42,7 +43,7 @@
     this.refresh(workerId, nowMs)
   }
 
-  /** Takes in that a worker started a task, which ends the doubling. */
+  /** Resets the exclusion period of a worker to its first value, after it started a task. */
   resetExclusionBackoff (workerId: string): void {
     this.#exclusionCounts.delete(workerId)
   }
@@ -73,7 +74,7 @@
     }
   }
 
-  /** A worker has to be joined before it can be drained; its tasks keep their cells meanwhile. */
+  /** A worker has to be joined before it can be drained. Its running tasks keep their cells. */
   #drain (workerId: string, nowMs: number): void {
     this.#context.scheduler.workerJoined(workerId, nowMs)
     this.#context.scheduler.drainWorker(workerId)
--- a/packages/control/src/worker-leases.ts
+++ b/packages/control/src/worker-leases.ts
@@ -1,48 +1,51 @@
-/** What this leader knows of each worker: its process, its last report and when its lease certainly ended. */
+/** Worker sessions of a leader: process, last report and certain expiry of the lease of each worker. */
 import type { WorkerReport } from '@comfreygrade/core'
 import { DeadlineQueue } from './deadline-queue.js'
 import type { ControlSettings } from './settings.js'
 import type { WorkerRecord } from './workers.js'
 
-/** A worker in the memory of the leader. */
+/** Volatile state of a worker on the leader. */
 export interface WorkerSession {
   readonly workerId: string
   readonly incarnation: number
   readonly sequence: number
   readonly address: string
-  /** False once its lease certainly ended; true again from its next report. */
+  /** False once the lease has certainly expired, until the next report. */
   readonly hasLease: boolean
 }
 
-/** How a report relates to what was known: an old one is from before the last report or an earlier process. */
+/** Position of a report relative to the session; an old one precedes the last report or is from an earlier process. */
 export type ReportFreshness = 'first' | 'next' | 'old_sequence' | 'new_incarnation' | 'old_incarnation'
 
-/** Leases of workers under one leader. */
+/** Leases granted by one leader or taken over from its predecessors. */
 export class WorkerLeases {
-  readonly #expiryMs: number
+  readonly #expiryDelayMs: number
   readonly #sessions = new Map<string, WorkerSession>()
   readonly #expiries = new DeadlineQueue()
 
   constructor (settings: ControlSettings) {
-    this.#expiryMs = settings.leaseMs * (1 + settings.clockRateBound)
+    this.#expiryDelayMs = settings.leaseMs * (1 + settings.clockRateBound)
   }
 
-  /** Takes over a worker of the replicated state; another leader may have renewed its lease until `nowMs`. */
+  /** Takes over a worker from the replicated state. A former leader may have renewed its lease until `nowMs`. */
   adopt ({ workerId, incarnation, address, state }: WorkerRecord, nowMs: number): void {
     const hasLease = state !== 'lost'
     this.#sessions.set(workerId, { workerId, incarnation, sequence: -1, address, hasLease })
-    if (hasLease) this.#expiries.set(workerId, nowMs + this.#expiryMs)
+    if (hasLease) this.#expiries.set(workerId, nowMs + this.#expiryDelayMs)
   }
 
   get (workerId: string): WorkerSession | undefined {
     return this.#sessions.get(workerId)
   }
 
-  /** Takes in a report. The lease counts as renewed even if the answer is never sent, which only delays its end. */
+  /**
+   * Renews the lease of a worker on receipt of its report. If the answer is never sent, the worker does not renew its
+   * own lease, so the expiry assumed here is merely late.
+   */
   renew ({ workerId, incarnation, sequence, address }: WorkerReport, nowMs: number): ReportFreshness {
     const freshness = reportFreshness(this.#sessions.get(workerId), incarnation, sequence)
     if (freshness === 'old_incarnation') return freshness
-    this.#expiries.set(workerId, nowMs + this.#expiryMs)
+    this.#expiries.set(workerId, nowMs + this.#expiryDelayMs)
     if (freshness === 'old_sequence') return freshness
     this.#sessions.set(workerId, { workerId, incarnation, sequence, address, hasLease: true })
     return freshness
@@ -53,7 +56,7 @@
     this.#expiries.delete(workerId)
   }
 
-  /** Ends and gives the leases that no worker can hold any more. */
+  /** Ends the leases that have certainly expired on their workers, and returns their sessions. */
   takeExpired (nowMs: number): WorkerSession[] {
     const expired: WorkerSession[] = []
     for (const workerId of this.#expiries.takeDue(nowMs)) {
--- a/packages/control/src/worker-service.ts
+++ b/packages/control/src/worker-service.ts
@@ -1,4 +1,4 @@
-/** Reports of workers: leases, new processes, lost workers, and the changes of state that follow. */
+/** Handling of worker reports: leases, restarts, lost workers and the resulting changes of the replicated state. */
 import { failure, type Failure, type TaskReport, type WorkerReport } from '@comfreygrade/core'
 import { DeadlineQueue, earliest } from './deadline-queue.js'
 import { taskReportKey, type GangLifeCycle } from './gang-life-cycle.js'
@@ -9,14 +9,14 @@
 import type { WorkerAvailability } from './worker-availability.js'
 import type { WorkerRecord } from './workers.js'
 
-/** A report whose answer waits until leadership is proven. */
+/** Report that is answered once leadership is proven. */
 interface PendingReport {
   readonly requestId: string
   readonly report: WorkerReport
   readonly receivedAtMs: number
 }
 
-/** Workers under this leader. */
+/** Manages the workers of one leader. */
 export class WorkerService {
   readonly #context: LeaderContext
   readonly #gangs: GangLifeCycle
@@ -34,7 +34,7 @@
     this.#proof = new LeadershipProof(context.settings.leadershipValidMs)
   }
 
-  /** Takes over the workers of the state; leases that others granted count from now. */
+  /** Takes over the workers in the state. Leases that former leaders granted are counted from now. */
   start (nowMs: number): void {
     for (const record of this.#context.state.workers()) {
       this.#context.leases.adopt(record, nowMs)
@@ -42,14 +42,14 @@
     }
   }
 
-  /** Treats tasks on workers that are recorded as lost as gone; call after the gangs are resumed. */
+  /** Handles tasks on workers recorded as lost as ended. Must be called after the gangs are resumed. */
   dropTasksOfLostWorkers (nowMs: number): void {
     for (const { workerId, state } of this.#context.state.workers()) {
       if (state === 'lost') this.#gangs.onWorkerGone(workerId, `worker ${workerId} is lost`, nowMs)
     }
   }
 
-  /** Takes in a report and says why it is refused, if it is. */
+  /** Handles a report; returns why it is refused, or undefined if it is accepted. */
   onReport (report: WorkerReport, nowMs: number): Failure | undefined {
     const { workerId, incarnation } = report
     const { state, leases } = this.#context
@@ -65,7 +65,7 @@
     return undefined
   }
 
-  /** Answers a report with a lease, at once or when the next proposal proves leadership. */
+  /** Returns a lease for a report, or undefined if the answer has to wait until leadership is proven. */
   answerReport (requestId: string, report: WorkerReport, nowMs: number): ControlAnswer | undefined {
     if (this.#proof.isValid(nowMs, nowMs)) return this.#grantLease(report)
     this.#pendingReports.push({ requestId, report, receivedAtMs: nowMs })
@@ -73,7 +73,7 @@
     return undefined
   }
 
-  /** Takes in that a proposal of this leader was committed; gives the answers that it allows. */
+  /** Handles the commit of a proposal of this leader; returns the answers to reports that it makes possible. */
   onCommitted (
     proposedAtMs: number,
     isProof: boolean,
@@ -89,7 +89,7 @@
       .map(({ requestId, report }) => ({ requestId, result: { ok: true, value: this.#grantLease(report) } }))
   }
 
-  /** Gives up the answers that wait, because leadership could not be proven. */
+  /** Removes and returns the requests of pending reports, which cannot be answered because leadership is unproven. */
   takePendingRequestIds (): string[] {
     const requestIds = this.#pendingReports.map(({ requestId }) => requestId)
     this.#pendingReports = []
@@ -97,24 +97,27 @@
     return requestIds
   }
 
-  /** Takes in a committed change of a worker. */
+  /** Handles a committed change of a worker. */
   onWorkerChanged (workerId: string, nowMs: number): void {
     this.#availability.refresh(workerId, nowMs)
     this.#reconcile(workerId, nowMs)
   }
 
-  /** Takes in that a proposed change of a worker was committed or refused, or will not be committed. */
+  /** Handles the outcome of a proposed change of a worker. One that was not applied is retried after a delay. */
   onProposalSettled (workerId: string, isApplied: boolean, nowMs: number): void {
     this.#pendingProposals.delete(workerId)
     if (isApplied) this.#reconcile(workerId, nowMs)
     else this.#proposalRetries.set(workerId, nowMs + this.#context.settings.proposalRetryMs)
   }
 
-  /** Takes in that workers left the inventory; their gangs are stopped in order, as their cells may be given anew. */
+  /**
+   * Handles the removal of a worker from the inventory. Its gangs are stopped with a confirmed release, because their
+   * cells may be allocated again.
+   */
   onWorkerRemoved (workerId: string, nowMs: number): void {
     this.#availability.refresh(workerId, nowMs)
     for (const { jobId } of this.#context.state.cellsOn(workerId)) {
-      const request = { reason: `worker ${workerId} left the inventory`, isCheckpoint: true, goal: 'requeue' as const }
+      const request = { reason: `worker ${workerId} was removed from the inventory`, isCheckpoint: true, goal: 'requeue' as const }
       this.#gangs.requestStop(jobId, request, false, nowMs)
     }
     if (this.#context.state.worker(workerId) === undefined) this.#context.leases.remove(workerId)
@@ -170,7 +173,7 @@
     this.#reconcile(workerId, nowMs)
   }
 
-  /** Proposes what this leader knows of a worker where it differs from the state. */
+  /** Proposes a change of the worker record if it differs from the session of the worker. */
   #reconcile (workerId: string, nowMs: number): void {
     if (this.#pendingProposals.has(workerId)) return
     const { state, leases, proposals } = this.#context
@@ -185,7 +188,7 @@
   }
 }
 
-/** A worker that is leaving keeps draining until its next process. */
+/** A worker that drains because it is leaving stays so until its process restarts. */
 function desiredState (record: WorkerRecord | undefined, { hasLease, incarnation }: WorkerSession): WorkerRecord['state'] {
   if (!hasLease) return 'lost'
   const isSameProcess = record !== undefined && record.incarnation === incarnation && record.state !== 'lost'
--- a/packages/control/src/workers.ts
+++ b/packages/control/src/workers.ts
@@ -1,20 +1,20 @@
-/** Workers that announced themselves, with the state that the control nodes agreed on. */
+/** Worker table: workers that have reported, with their replicated state. */
 import type { WorkerState } from '@comfreygrade/core'
 import { done, refuse } from './command-results.js'
 import type { CommandResult, ControlCommand } from './commands.js'
 
-/** A worker as it is kept; records are replaced, never changed. */
+/** Stored worker. Records are immutable. */
 export interface WorkerRecord {
   readonly workerId: string
   readonly state: WorkerState
-  /** A higher incarnation is another process, without the tasks of the one before. */
+  /** Number of the worker process. A later process has none of the tasks of an earlier one. */
   readonly incarnation: number
   readonly address: string
 }
 
 type WorkerStateCommand = Extract<ControlCommand, { kind: 'worker_state' }>
 
-/** Announced workers by ID. */
+/** Worker records by ID. */
 export class WorkerTable {
   readonly #workers = new Map<string, WorkerRecord>()
 
@@ -26,11 +26,11 @@
     return this.#workers.values()
   }
 
-  /** Takes over a change unless a later incarnation is known. */
+  /** Applies a change, unless a later incarnation is recorded. */
   apply ({ workerId, state, incarnation, address }: WorkerStateCommand): CommandResult {
     const known = this.#workers.get(workerId)
     if (known !== undefined && known.incarnation > incarnation) {
-      return refuse('stale_term', `worker ${workerId} has incarnation ${known.incarnation}, the command names ${incarnation}`)
+      return refuse('stale_term', `worker ${workerId} has incarnation ${known.incarnation}, but the command is for incarnation ${incarnation}`)
     }
     this.#workers.set(workerId, { workerId, state, incarnation, address })
     return done
