--- a/packages/control/src/ports.ts
+++ b/packages/control/src/ports.ts
@@ -25,7 +25,7 @@
   abstract submit (job: JobSpec, nowMs: number): Failure | undefined
   /** Adds a job that is already placed, for example after a change of leader. Its workers may not have joined. */
   abstract restore (job: JobSpec, placement: Placement, startedMs: number): void
-  /** Removes a job without recording its run time. */
+  /** Removes a waiting job. A placed one stays until `ended` or `reclaimed`, but its run time does not count. */
   abstract cancel (jobId: string, nowMs: number): void
   abstract taskFailed (jobId: string, workerId: string, nowMs: number): void
   /** Removes a placed job whose tasks are all released. */
--- a/packages/control/test/claim-grants.test.ts
+++ b/packages/control/test/claim-grants.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava'
 import { ClaimTable, defaultControlStateSettings } from '../src/index.js'
 
-/** A UUID of version 7 issued at 1,000 ms. */
+/** A version 7 UUID issued at 1,000 ms. */
 const key = '00000000-03e8-7000-8000-000000000001'
 const maxDeadlineMs = 1_000_000
 const request = { kind: 'claim_request', organisationId: 'o1', key, digest: 'd' } as const
@@ -12,14 +12,14 @@
   return result.kind === 'claimed' && result.granted
 }
 
-test('a claimant that asks again after a lost answer is granted again, so that its claim does not stay pending', t => {
+test('a claimant that repeats its claim after a lost answer is granted again, so that the claim does not stay pending', t => {
   const table = new ClaimTable(defaultControlStateSettings)
   t.true(isGranted(table, 'a'))
   t.true(isGranted(table, 'a'))
   t.false(isGranted(table, 'b'))
 })
 
-test('a claim that certainly did not run is granted to the repeat, as its caller was told to repeat it', t => {
+test('a claim settled as not run is granted to the next claimant, because its caller was told to repeat the request', t => {
   const table = new ClaimTable(defaultControlStateSettings)
   t.true(isGranted(table, 'a'))
   table.settle({ ...settlement, claimantId: 'a', state: 'not_run' }, 5)
@@ -27,7 +27,7 @@
   t.false(isGranted(table, 'c'))
 })
 
-test('only the claimant settles a claim, so that a late settlement does not free a key that another one runs', t => {
+test('only the claimant can settle a claim, so that a late settlement does not free a key in use by another request', t => {
   const table = new ClaimTable(defaultControlStateSettings)
   isGranted(table, 'a')
   table.settle({ ...settlement, claimantId: 'a', state: 'not_run' }, 5)
@@ -46,7 +46,7 @@
   }
 })
 
-test('a claim granted anew keeps its place in the order of retention and is then refused as expired', t => {
+test('a claim that is granted again still expires at its original time, and its key is then refused as expired', t => {
   const table = new ClaimTable(defaultControlStateSettings)
   const { claimRetentionMs } = defaultControlStateSettings
   isGranted(table, 'a')
--- a/packages/control/test/execution-checks.ts
+++ b/packages/control/test/execution-checks.ts
@@ -1,24 +1,24 @@
-/** Checks of what the workers recorded. Each gives one sentence per violation. */
+/** Invariant checks on the executions that workers recorded. Each returns one sentence per violation. */
 import type { JobRecord } from '../src/index.js'
 import type { Execution, ExecutionRecord } from './fake-worker.js'
 
-/** Accelerators that two tasks used at the same time. */
+/** Finds accelerators that two tasks used at the same time. */
 export function findSharedAccelerators ({ executions }: ExecutionRecord): string[] {
   return pairs(executions)
     .filter(([left, right]) => left.workerId === right.workerId && areConcurrent(left, right) && overlap(left, right))
     .map(([left, right]) => `${describe(left)} and ${describe(right)} share accelerators of ${left.workerId}`)
 }
 
-/** Tasks that ran although some task of their gang was never held before. */
+/** Finds tasks that ran before every task of their gang was prepared. */
 export function findPartialGangs ({ executions, holds }: ExecutionRecord, jobs: readonly JobRecord[]): string[] {
   return executions.filter(execution => {
     const tasks = jobs.find(({ spec }) => spec.jobId === execution.jobId)?.spec.tasks ?? 0
     const held = holds.filter(hold => hold.leaseId === execution.leaseId && hold.atMs <= execution.startMs)
     return new Set(held.map(({ taskIndex }) => taskIndex)).size < tasks
-  }).map(execution => `${describe(execution)} ran before its whole gang was held`)
+  }).map(execution => `${describe(execution)} ran before its whole gang was prepared`)
 }
 
-/** Jobs that ran under two leases at the same time. */
+/** Finds jobs that ran under two leases at the same time. */
 export function findConcurrentRuns ({ executions }: ExecutionRecord): string[] {
   return pairs(executions)
     .filter(([left, right]) =>
@@ -26,15 +26,15 @@
     .map(([left, right]) => `${describe(left)} and ${describe(right)} ran at the same time`)
 }
 
-/** Jobs that may run once and ran under two leases. */
+/** Finds non-repeatable jobs that ran under two leases. */
 export function findRepeatedRuns ({ executions }: ExecutionRecord, jobs: readonly JobRecord[]): string[] {
   return jobs
     .filter(({ spec }) => spec.preemption === 'none')
     .filter(({ spec }) => new Set(executions.filter(run => run.jobId === spec.jobId).map(run => run.leaseId)).size > 1)
-    .map(({ spec }) => `${spec.jobId} may run once and ran under two leases`)
+    .map(({ spec }) => `${spec.jobId} is non-repeatable and ran under two leases`)
 }
 
-/** Jobs whose recorded end differs from what the workers did. */
+/** Finds jobs whose recorded outcome contradicts the executions. */
 export function findWrongOutcomes (
   { executions }: ExecutionRecord,
   jobs: readonly JobRecord[],
@@ -50,13 +50,13 @@
     if (phase !== 'ended') problems.push(`${spec.jobId} is still ${phase}`)
     else if (runs.some(({ endMs }) => endMs > nowMs)) problems.push(`${spec.jobId} ended and still runs`)
     else if (outcome === 'completed' && ![...completed.values()].includes(spec.tasks)) {
-      problems.push(`${spec.jobId} is recorded as completed and no whole gang completed`)
+      problems.push(`${spec.jobId} is recorded as completed, but no gang completed as a whole`)
     }
   }
   return problems
 }
 
-/** All of the checks above. */
+/** Runs all checks of this file. */
 export function findViolations (record: ExecutionRecord, jobs: readonly JobRecord[], nowMs: number): string[] {
   return [
     ...findSharedAccelerators(record),
--- a/packages/control/test/fake-scheduler.ts
+++ b/packages/control/test/fake-scheduler.ts
@@ -1,4 +1,4 @@
-/** First-fit scheduler at the port, with decisions that a test may add. */
+/** First-fit implementation of the scheduler port, to which tests can add decisions. */
 import type { Configuration, Failure, JobExplanation, JobSpec, Placement, TaskPlacement } from '@comfreygrade/core'
 import type { FleetReport, PlacementDecision, ReclaimCheck } from '@comfreygrade/placement'
 import { GuaranteeValidator, JobScheduler } from '../src/index.js'
@@ -6,7 +6,7 @@
 const MAX_JOB_FAILURES = 6
 
 export class FakeScheduler extends JobScheduler {
-  /** Decisions for the next pass. */
+  /** Additional decisions that the next pass returns. */
   readonly extraDecisions: PlacementDecision[] = []
   readonly calls: string[] = []
   readonly #waiting = new Map<string, JobSpec>()
@@ -126,7 +126,7 @@
   return Array.from({ length: acceleratorCount }, (_, offset) => `${workerId}/${firstAccelerator + offset}`)
 }
 
-/** Holds up to `limit` guaranteed cells. */
+/** Accepts up to `limit` guaranteed cells. */
 export class FakeValidator extends GuaranteeValidator {
   readonly limit: number
 
--- a/packages/control/test/fake-worker.ts
+++ b/packages/control/test/fake-worker.ts
@@ -1,8 +1,8 @@
-/** A worker at the port, which keeps its own record of what it ran and when. */
+/** Simulated worker, which records independently of the leader what it ran and when. */
 import type { TaskReport, TaskState, WorkerReport } from '@comfreygrade/core'
 import type { ControlAnswer, OrderResult, WorkerOrder } from '../src/index.js'
 
-/** One run of a task on a worker; `endMs` is infinite while it runs. */
+/** One execution of a task on a worker; `endMs` is infinite while it runs. */
 export interface Execution {
   readonly jobId: string
   readonly leaseId: number
@@ -15,7 +15,7 @@
   isCompleted: boolean
 }
 
-/** A cell that a worker agreed to hold. */
+/** An accepted `prepare` of a task. */
 export interface Hold {
   readonly jobId: string
   readonly leaseId: number
@@ -23,7 +23,7 @@
   readonly atMs: number
 }
 
-/** What really happened, written by the workers alone. */
+/** Ground truth of a simulation, written only by the workers. */
 export class ExecutionRecord {
   readonly executions: Execution[] = []
   readonly holds: Hold[] = []
@@ -43,11 +43,11 @@
   behaviour: WorkerBehaviour = 'works'
   isCrashed = false
   isFrozen = false
-  /** Nothing reaches it and nothing that it sends arrives, while its tasks go on. */
+  /** Messages from and to the worker are lost, while its tasks continue. */
   isPartitioned = false
   runMs = 400
   readonly #record: ExecutionRecord
-  /** Rate of its clock against the leader's: a slow clock keeps a lease longer. */
+  /** Rate of the worker clock relative to that of the leader; with a slow clock a lease lasts longer. */
   readonly #clockRate: number
   readonly #tasks = new Map<string, WorkerTask>()
   readonly #refusedLeases = new Set<string>()
@@ -66,7 +66,7 @@
     return !this.isCrashed && !this.isFrozen
   }
 
-  /** Lets time pass: tasks complete, and all are given up when the lease ends. */
+  /** Advances time: tasks complete, and all are released when the lease expires. */
   advance (nowMs: number): void {
     if (!this.isReachable) return
     for (const task of this.#tasks.values()) {
@@ -83,7 +83,7 @@
     }
   }
 
-  /** Stops everything without notice. */
+  /** Ends the process and all of its tasks without notice. */
   crash (nowMs: number): void {
     this.advance(nowMs)
     this.isCrashed = true
@@ -91,7 +91,7 @@
     this.#tasks.clear()
   }
 
-  /** Starts a new process that remembers nothing. */
+  /** Starts a new process without any state of the previous one. */
   restart (nowMs: number): void {
     this.crash(nowMs)
     this.isCrashed = false
@@ -103,7 +103,7 @@
     this.#refusedLeases.clear()
   }
 
-  /** Stops the clock of its tasks; the process keeps what it held. */
+  /** Pauses the process and its tasks; it keeps its state. */
   freeze (nowMs: number): void {
     this.advance(nowMs)
     this.isFrozen = true
@@ -112,7 +112,7 @@
     }
   }
 
-  /** Goes on where the lease still holds, and otherwise gives up before anything runs. */
+  /** Resumes the process. Tasks continue if the lease is still valid, and are released before they run otherwise. */
   resume (nowMs: number): void {
     if (!this.isFrozen) return
     this.isFrozen = false
@@ -159,7 +159,7 @@
     return 'accepted'
   }
 
-  /** Overlapping cells are not refused here, so that a cell given out twice shows in the record. */
+  /** Accepts overlapping cells, so that a double allocation shows in the execution record. */
   #prepare (key: string, order: WorkerOrder, nowMs: number): OrderResult {
     if (this.behaviour === 'refuses' || this.#refusedLeases.has(key)) return 'refused'
     const { jobId, leaseId, taskIndex } = order
--- a/packages/control/test/gang-life-cycle.test.ts
+++ b/packages/control/test/gang-life-cycle.test.ts
@@ -12,7 +12,7 @@
   return findViolations(simulation.executionRecord, [...simulation.state.jobs()], simulation.nowMs)
 }
 
-/** Workers have leases, and the jobs are asked for; nothing is committed yet. */
+/** Creates a simulation whose workers have leases and whose jobs are submitted, but not committed yet. */
 function simulationWithJobs (options?: SimulationOptions): Simulation {
   const simulation = new Simulation(options)
   simulation.run(200)
@@ -21,20 +21,20 @@
   return simulation
 }
 
-test('a worker that refuses a stop is asked again after a pause and not in a loop', t => {
+test('an order that a worker refuses is resent after a back-off, not in a tight loop', t => {
   const simulation = simulationWithJobs()
   while (simulation.step());
   simulation.worker('w0').restart(simulation.nowMs)
   simulation.request({ kind: 'cancel_job', jobId: 'gang' })
   let steps = 0
   while (simulation.step() && steps < 200) steps += 1
-  t.true(steps < 200, `${steps} steps without any time between them`)
+  t.true(steps < 200, `${steps} steps without any time passing`)
 })
 
-/** What happens besides the messages; called before each step. */
+/** Injects faults and requests into a simulation; called before each step. */
 type FaultInjector = (simulation: Simulation) => void
 
-/** A gang loses a worker while it starts and is cancelled while it stops; another job is taken back while it runs. */
+/** Restarts a worker while a gang starts, reclaims another job while it runs, and cancels that job while it stops. */
 function createFaultInjector (): FaultInjector {
   const faults: Array<readonly [jobId: string, phase: JobPhase, act: FaultInjector]> = [
     ['once', 'starting', simulation => simulation.worker('w1').restart(simulation.nowMs)],
@@ -51,7 +51,7 @@
   }
 }
 
-/** Steps of the life cycle with a report of every worker whenever nothing else is on its way. */
+/** Takes up to `count` steps, in which all workers report whenever no message or proposal is left. */
 function takeSteps (simulation: Simulation, count: number, injectFaults: FaultInjector = () => {}): number {
   let taken = 0
   for (let idle = 0; taken < count && idle < 30; taken += 1) {
@@ -64,7 +64,7 @@
   return taken
 }
 
-test('a gang that nothing disturbs runs whole and ends as completed', t => {
+test('without faults every gang runs as a whole and ends as completed', t => {
   const simulation = simulationWithJobs()
   simulation.recover()
   t.deepEqual(violations(simulation), [])
@@ -72,18 +72,18 @@
   t.is(simulation.executionRecord.executions.length, 5)
 })
 
-for (const kept of [0, 1, 99]) {
-  for (const fate of ['dropped', 'late', 'to the former leader'] as const) {
-    test(`a leader replaced after any step loses no job and splits no gang: ${kept} proposals kept, messages ${fate}`, t => {
+for (const committedCount of [0, 1, 99]) {
+  for (const delivery of ['dropped', 'late', 'to the former leader'] as const) {
+    test(`replacing the leader after any step loses no job and breaks up no gang: ${committedCount} proposals committed, messages ${delivery}`, t => {
       const total = takeSteps(simulationWithJobs(), Number.POSITIVE_INFINITY)
       t.true(total > 60, `${total} steps`)
       for (let steps = 0; steps < total; steps += 1) {
         const simulation = simulationWithJobs()
         takeSteps(simulation, steps)
-        const late = simulation.messages.splice(0)
-        simulation.replaceLeader(kept)
-        if (fate !== 'dropped') simulation.messages.push(...late)
-        if (fate === 'to the former leader') late.forEach(() => simulation.deliver(0, false, true))
+        const inTransit = simulation.messages.splice(0)
+        simulation.replaceLeader(committedCount)
+        if (delivery !== 'dropped') simulation.messages.push(...inTransit)
+        if (delivery === 'to the former leader') inTransit.forEach(() => simulation.deliver(0, false, true))
         simulation.recover()
         t.deepEqual(violations(simulation), [], `replaced after ${steps} steps`)
       }
@@ -93,21 +93,21 @@
 
 for (const settings of [{}, { unstartedReleaseWaitMs: 30 }]) {
   const name = `releases confirmed within ${settings.unstartedReleaseWaitMs ?? 'a lease'}`
-  test(`a leader replaced after any step of a loss, a cancellation and a reclaim splits no gang: ${name}`, t => {
+  test(`replacing the leader during a restart, a cancellation or a reclaim loses no job and breaks up no gang: ${name}`, t => {
     const total = takeSteps(simulationWithJobs({ settings }), Number.POSITIVE_INFINITY, createFaultInjector())
     for (let steps = 0; steps < total; steps += 1) {
       const simulation = simulationWithJobs({ settings })
       takeSteps(simulation, steps, createFaultInjector())
-      const late = simulation.messages.splice(0)
+      const inTransit = simulation.messages.splice(0)
       simulation.replaceLeader(steps % 3)
-      simulation.messages.push(...late)
+      simulation.messages.push(...inTransit)
       simulation.recover()
       t.deepEqual(violations(simulation), [], `replaced after ${steps} steps`)
     }
   })
 }
 
-test('a leader replaced twice in a row after any step loses no job and splits no gang', t => {
+test('replacing the leader twice in a row after any step loses no job and breaks up no gang', t => {
   const total = takeSteps(simulationWithJobs(), Number.POSITIVE_INFINITY)
   for (let steps = 0; steps < total; steps += 1) {
     const simulation = simulationWithJobs()
@@ -121,7 +121,7 @@
 })
 
 for (const fault of ['lost', 'doubled', 'late'] as const) {
-  test(`any single message that is ${fault} loses no job and splits no gang`, t => {
+  test(`a single message that is ${fault} loses no job and breaks up no gang`, t => {
     const total = takeSteps(simulationWithJobs(), Number.POSITIVE_INFINITY)
     for (let steps = 0; steps < total; steps += 1) {
       const simulation = simulationWithJobs()
@@ -204,16 +204,16 @@
 }
 
 for (const unstartedReleaseWaitMs of [60_000, 30]) {
-  test(`random faults and new leaders never split or double a gang: releases confirmed within ${unstartedReleaseWaitMs} ms`, t => {
+  test(`random faults and new leaders never run a gang partially or twice: releases confirmed within ${unstartedReleaseWaitMs} ms`, t => {
     fc.assert(fc.property(actions, list => {
-      const found = violations(runActions(list, { settings: { unstartedReleaseWaitMs } }))
-      if (found.length > 0) throw new Error(found.join('\n'))
+      const problems = violations(runActions(list, { settings: { unstartedReleaseWaitMs } }))
+      if (problems.length > 0) throw new Error(problems.join('\n'))
     }), { seed: 20_261_204, numRuns: 300 })
     t.pass()
   })
 }
 
-test('an urgent job that met a silent worker starts elsewhere without waiting for the end of its lease', t => {
+test('an urgent job placed on a silent worker starts elsewhere without waiting for the lease to expire', t => {
   const startAfter = (unstartedReleaseWaitMs: number): number => {
     const simulation = new Simulation({ workers: 4, settings: { unstartedReleaseWaitMs } })
     simulation.run(200)
@@ -226,36 +226,36 @@
   t.true(startAfter(60_000) > 500)
 })
 
-test('the checker of doubled runs notices a leader that does not wait for the end of a lease', t => {
+test('the check for concurrent runs detects a leader that does not wait for a lease to expire', t => {
   t.deepEqual(findConcurrentRuns(runWithPartitionedWorker({}).executionRecord), [])
   t.not(findConcurrentRuns(runWithPartitionedWorker({ settings: { clockRateBound: -0.9 } }).executionRecord).length, 0)
 })
 
-test('a gang that must stop is not started elsewhere while a task on a silent worker may run', t => {
+test('a stopping gang is not started elsewhere while its task on a silent worker may still run', t => {
   const simulation = runWithPartitionedWorker({}, silent => silent.worker('w0').restart(silent.nowMs))
   t.deepEqual(findConcurrentRuns(simulation.executionRecord), [])
   t.is(new Set(simulation.executionRecord.executions.map(({ leaseId }) => leaseId)).size, 2)
 })
 
-test('reports from before a placement do not release its tasks', t => {
+test('reports sent before a placement do not release its tasks', t => {
   const simulation = new Simulation({ workers: 5 })
   for (const worker of simulation.workers) worker.runMs = 5_000
   simulation.run(200)
   simulation.sendReport(simulation.worker('w1'))
   simulation.sendReport(simulation.worker('w1'))
-  const early = simulation.messages.splice(0)
+  const earlyReports = simulation.messages.splice(0)
   simulation.request({ kind: 'submit_job', spec: job('gang') })
   while (simulation.step());
   t.is(simulation.executionRecord.executions.length, 2)
   simulation.request({ kind: 'drain', drain: { kind: 'worker', id: 'w1' } })
-  simulation.messages.push(...early)
+  simulation.messages.push(...earlyReports)
   while (simulation.messages.some(({ kind }) => kind === 'report')) simulation.deliver(0)
   simulation.worker('w1').isPartitioned = true
   simulation.run(3_000)
   t.deepEqual(findConcurrentRuns(simulation.executionRecord), [])
 })
 
-/** A gang runs on a worker with a slow clock that is cut off, and is started again without it. */
+/** Partitions a worker with a slow clock while it runs a task of a gang, which is then started on other workers. */
 function runWithPartitionedWorker (
   options: SimulationOptions,
   onPartition: (simulation: Simulation) => void = () => {}
@@ -271,12 +271,12 @@
   return simulation
 }
 
-test('the checker of doubled runs notices a frozen leader that renews leases which its successor counts down', t => {
+test('the check for concurrent runs detects a former leader that renews leases whose expiry its successor counts', t => {
   t.deepEqual(findConcurrentRuns(runWithFrozenLeader({}).executionRecord), [])
   t.not(findConcurrentRuns(runWithFrozenLeader({ leadershipValidMs: 60_000 }).executionRecord).length, 0)
 })
 
-/** The former leader wakes up after its successor started, and gets the reports of one worker. */
+/** Delivers the reports of one worker to a former leader, which resumed after its successor had started. */
 function runWithFrozenLeader (settings: Partial<ControlSettings>): Simulation {
   const simulation = new Simulation({ settings, workers: 4 })
   for (const worker of simulation.workers) worker.runMs = 5_000
@@ -297,7 +297,7 @@
   return simulation
 }
 
-test('the checker of shared cells notices a worker that goes on after it confirmed a stop', t => {
+test('the check for shared accelerators detects a worker that continues after it confirmed a stop', t => {
   const run = (behaviour: WorkerBehaviour): Simulation => {
     const simulation = new Simulation({ workers: 2 })
     simulation.run(200)
@@ -313,9 +313,9 @@
   t.not(findSharedAccelerators(run('ignores_stop').executionRecord).length, 0)
 })
 
-test('the checker of partial gangs notices a refused preparation that is passed on as accepted', t => {
-  const run = (tamper: (message: Message) => Message): string[] => {
-    const simulation = new Simulation({ intercept: tamper })
+test('the check for partial gangs detects a refused preparation that is delivered as accepted', t => {
+  const run = (intercept: (message: Message) => Message): string[] => {
+    const simulation = new Simulation({ intercept })
     simulation.run(200)
     simulation.worker('w1').behaviour = 'refuses'
     simulation.request({ kind: 'submit_job', spec: job('gang', { tasks: 3 }) })
@@ -326,7 +326,7 @@
   t.not(run(message => message.kind === 'answer' ? { ...message, results: message.results.map(() => 'accepted') } : message).length, 0)
 })
 
-test('the checker of repeated runs notices a job that starts again', t => {
+test('the check for repeated runs detects a job that starts again', t => {
   const run = (preemption: 'none' | 'repeat'): string[] => {
     const simulation = new Simulation()
     simulation.run(200)
@@ -341,12 +341,12 @@
   t.not(run('repeat').length, 0)
 })
 
-test('the checker of ends notices a gang that is taken as completed while it runs', t => {
+test('the check for wrong outcomes detects a gang that is reported as completed while it runs', t => {
   const run = (state: TaskState): string[] => {
-    const tamper = (message: Message): Message => message.kind === 'report'
+    const intercept = (message: Message): Message => message.kind === 'report'
       ? { ...message, report: { ...message.report, tasks: message.report.tasks.map(task => ({ ...task, state: task.state === 'running' ? state : task.state })) } }
       : message
-    const simulation = new Simulation({ intercept: tamper })
+    const simulation = new Simulation({ intercept })
     simulation.workers.forEach(worker => { worker.runMs = 900 })
     simulation.run(200)
     simulation.request({ kind: 'submit_job', spec: job('gang') })
--- a/packages/control/test/leader.test.ts
+++ b/packages/control/test/leader.test.ts
@@ -37,7 +37,7 @@
   return simulation.state.job(jobId)?.phase === phase
 }
 
-test('a job sent twice at once is one job, and a shape that cannot be held never enters the log', t => {
+test('a job submitted twice at once is one job, and an impossible shape never enters the log', t => {
   const simulation = startedSimulation()
   const ids = [1, 2].map(() => simulation.request({ kind: 'submit_job', spec: job('j0') }))
   while (simulation.step());
@@ -49,7 +49,7 @@
   t.is(simulation.state.job('j1'), undefined)
 })
 
-test('a rejected proposal is answered as not run only where it certainly takes no effect', t => {
+test('a rejected proposal is answered with an unknown outcome unless it certainly was not applied', t => {
   const operations: ControlOperation[] = [
     { kind: 'submit_job', spec: job('j0') },
     { kind: 'claim_request', organisationId: 'o1', key: KEY, digest: 'd', claimantId: 'a' }
@@ -66,7 +66,7 @@
   t.deepEqual(answersTo('not_applied'), ['control_unavailable', 'control_unavailable'])
 })
 
-test('a leader that ends answers everything that waits, so no caller hangs', t => {
+test('closing a leader answers all pending requests, so that no caller waits in vain', t => {
   const simulation = startedSimulation()
   simulation.request({ kind: 'submit_job', spec: job('j0') })
   simulation.request({ kind: 'claim_request', organisationId: 'o1', key: KEY, digest: 'd', claimantId: 'a' })
@@ -74,7 +74,7 @@
   t.is(replies.length, 2)
 })
 
-test('a claim is granted to one of two requests at once, and the other learns its state', t => {
+test('of two simultaneous claims of a key one is granted, and the other gets the state of the claim', t => {
   const simulation = startedSimulation()
   const claim = { kind: 'claim_request', organisationId: 'o1', key: KEY, digest: 'd', claimantId: 'a' } as const
   const ids = ['a', 'b'].map(claimantId => simulation.request({ ...claim, claimantId }))
@@ -87,7 +87,7 @@
   t.is(summary(requestResult(simulation, { ...claim, claimantId: 'b' })), 'claim pending')
 })
 
-test('a cancellation that races with the placement still ends the job before it starts', t => {
+test('a cancellation that races with the placement ends the job before it starts', t => {
   const simulation = startedSimulation()
   simulation.request({ kind: 'submit_job', spec: job('j0') })
   simulation.advance(10)
@@ -101,7 +101,7 @@
   t.true(simulation.scheduler.calls.includes('ended j0'))
 })
 
-test('a job that the scheduler takes back before its placement is committed leaves its cells', t => {
+test('a job that is reclaimed before its placement is committed releases its cells', t => {
   const simulation = startedSimulation()
   simulation.request({ kind: 'submit_job', spec: job('j0') })
   t.is(simulation.proposals.at(-1)?.command.kind, 'place_job')
@@ -113,7 +113,7 @@
   t.true(simulation.scheduler.calls.includes('reclaimed j0'))
 })
 
-test('a placement that is taken for rejected and committed after all is followed, and no second one is made', t => {
+test('a placement that is reported as rejected but committed after all is adopted, and no second one is made', t => {
   const simulation = startedSimulation()
   simulation.request({ kind: 'submit_job', spec: job('j0') })
   simulation.commit()
@@ -125,7 +125,7 @@
   t.true(simulation.scheduler.calls.includes('restore j0'))
 })
 
-test('a checkpoint that does not end in time becomes a stop within the time to reclaim', t => {
+test('a checkpoint that does not finish in time is replaced by a stop within the reclaim limit', t => {
   const simulation = startedSimulation()
   simulation.request({ kind: 'submit_job', spec: job('j0', { tasks: 1, preemption: 'checkpoint' }) })
   while (simulation.step());
@@ -140,14 +140,14 @@
   t.true(sentOrderKinds(simulation).includes('stop'))
 })
 
-test('heartbeats that change nothing commit nothing but the proof of leadership', t => {
+test('worker reports that change nothing commit only the commands that prove leadership', t => {
   const simulation = startedSimulation()
   const before = simulation.committed.length
   simulation.run(5_000)
   t.deepEqual(new Set(simulation.committed.slice(before).map(({ kind }) => kind)), new Set(['clock']))
 })
 
-test('a report is answered only once leadership is proven, and refused when it cannot be', t => {
+test('a report is answered only once leadership is proven, and refused if it cannot be proven', t => {
   const simulation = startedSimulation()
   simulation.advance(1_000)
   simulation.proposals = []
@@ -160,18 +160,18 @@
   t.is(summary(requestResult(simulation, { kind: 'report_worker', report })), 'worker_lease')
 })
 
-test('a report of an earlier process or of no listed worker gets no lease, and leftover tasks are to be stopped', t => {
+test('a report of an earlier process or an unlisted worker gets no lease, and unallocated tasks are to be stopped', t => {
   const simulation = startedSimulation()
   const report = simulation.worker('w0').report(simulation.nowMs)
-  const leftover = { jobId: 'gone', taskIndex: 0, leaseId: 3, state: 'running' } as const
-  const result = requestResult(simulation, { kind: 'report_worker', report: { ...report, tasks: [leftover] } })
+  const unallocated = { jobId: 'gone', taskIndex: 0, leaseId: 3, state: 'running' } as const
+  const result = requestResult(simulation, { kind: 'report_worker', report: { ...report, tasks: [unallocated] } })
   t.like(result, { ok: true, value: { leaseMs: 1_000, stopTasks: [{ jobId: 'gone', taskIndex: 0, leaseId: 3 }] } })
   const old = { ...report, incarnation: 0 }
   t.is(summary(requestResult(simulation, { kind: 'report_worker', report: old })), 'stale_term')
   t.is(summary(requestResult(simulation, { kind: 'report_worker', report: { ...report, workerId: 'w9' } })), 'not_found')
 })
 
-test('a job that fails on every worker ends as failed, and its failures reach the scheduler', t => {
+test('a job that fails on every worker ends as failed, and the scheduler is notified of each failure', t => {
   const simulation = startedSimulation()
   for (const worker of simulation.workers) worker.behaviour = 'fails'
   simulation.request({ kind: 'submit_job', spec: job('j0', { tasks: 1 }) })
@@ -180,7 +180,7 @@
   t.is(simulation.scheduler.calls.filter(call => call.startsWith('taskFailed j0')).length, 6)
 })
 
-test('a worker that refuses everything does not hold up a gang that fits elsewhere', t => {
+test('a worker that refuses every placement does not block a gang that fits elsewhere', t => {
   const simulation = startedSimulation()
   simulation.worker('w0').behaviour = 'refuses'
   simulation.request({ kind: 'submit_job', spec: job('j0') })
@@ -189,7 +189,7 @@
   t.false(simulation.executionRecord.executions.some(({ workerId }) => workerId === 'w0'))
 })
 
-test('a worker that is drained or leaves gets no new tasks and keeps those that it has', t => {
+test('a worker that is drained or leaves gets no new tasks and keeps its running tasks', t => {
   const simulation = startedSimulation(2)
   simulation.request({ kind: 'submit_job', spec: job('j0') })
   while (simulation.step());
@@ -205,7 +205,7 @@
   t.is(simulation.state.job('j1')?.outcome, 'completed')
 })
 
-test('a worker that leaves the inventory gives up its gang in order, and is forgotten once its cells are free', t => {
+test('a worker removed from the inventory releases its gang and is deleted once its cells are free', t => {
   const simulation = startedSimulation()
   simulation.workers.forEach(worker => { worker.runMs = 900 })
   simulation.request({ kind: 'submit_job', spec: job('j0') })
@@ -221,7 +221,7 @@
   t.is(simulation.executionRecord.executions.filter(({ workerId }) => workerId === 'w0').length, 1)
 })
 
-test('of two operators with one version one wins at once, and both get the same answers again', t => {
+test('of two changes with the same version one is accepted, and resending them gives the same answers', t => {
   const simulation = startedSimulation()
   const changeTo = (quotaAccelerators: number) => ({
     kind: 'apply_change' as const,
@@ -241,7 +241,7 @@
   t.is(simulation.state.configuration.organisations.get('o1')?.quotaAccelerators, 5)
 })
 
-test('reads show jobs by phase and organisation, workers, drains and the configuration', t => {
+test('read operations return jobs by phase and organisation, the fleet and the configuration', t => {
   const simulation = startedSimulation()
   simulation.request({ kind: 'submit_job', spec: job('j0', { tasks: 9 }) })
   simulation.request({ kind: 'submit_job', spec: job('j1') })
@@ -256,7 +256,7 @@
   t.like(requestResult(simulation, { kind: 'get_configuration_status' }), { ok: true, value: { status: { version: 1 } } })
 })
 
-/** Walks over all jobs that it knows at each cancellation. */
+/** Scheduler that iterates over all jobs at each cancellation. */
 class LinearScanScheduler extends FakeScheduler {
   readonly #jobIds = new Set<string>()
 
@@ -272,13 +272,13 @@
   }
 }
 
-/** Steps of cancelling `count` waiting jobs that arrive together. */
+/** Counts the operations for cancelling `count` waiting jobs. */
 function cancellationCost (count: number, scheduler: FakeScheduler): number {
   const simulation = new Simulation({ scheduler })
   for (let number = 0; number < count; number += 1) {
     simulation.request({ kind: 'submit_job', spec: job(`j${number}`, { tasks: 60 }) })
   }
-  // One pass of the fake scheduler looks at every waiting job, so the wave gets none between its cancellations.
+  // Time does not advance, so that no pass of the fake scheduler, which iterates over all jobs, runs in between.
   simulation.commitAll()
   const operations = countOperations(() => {
     for (let number = 0; number < count; number += 1) simulation.request({ kind: 'cancel_job', jobId: `j${number}` })
@@ -290,17 +290,17 @@
 
 const LINEAR_TOLERANCE = 1.15
 
-test('a wave of 10,000 cancellations costs no more for each job than one of 2,500', t => {
+test('cancelling 10,000 jobs takes no more operations per job than cancelling 2,500', t => {
   const ratio = cancellationCost(10_000, new FakeScheduler()) / cancellationCost(2_500, new FakeScheduler())
   t.true(ratio < 4 * LINEAR_TOLERANCE, `${ratio}`)
 })
 
-test('the count of operations notices a scheduler that walks over all jobs at each cancellation', t => {
+test('the operation count detects a scheduler that iterates over all jobs at each cancellation', t => {
   const ratio = cancellationCost(1_000, new LinearScanScheduler()) / cancellationCost(250, new LinearScanScheduler())
   t.true(ratio > 4 * LINEAR_TOLERANCE, `${ratio}`)
 })
 
-test('a leader asks to be woken at its next deadline and not before', t => {
+test('an idle leader requests its next wake-up in the future, so that it does not run in a busy loop', t => {
   const simulation = startedSimulation()
   t.true(simulation.leader.nextWakeAtMs() > simulation.nowMs)
   t.true(simulation.leader instanceof ControlLeader)
--- a/packages/control/test/operation-counter.ts
+++ b/packages/control/test/operation-counter.ts
@@ -1,13 +1,13 @@
-/** Counts steps of collections, so that a test can compare costs without a clock. */
+/** Counts operations on collections, so that a test can compare costs without measuring time. */
 
 type Method = (...args: unknown[]) => unknown
 
 const MAP_METHODS = ['get', 'set', 'has', 'delete']
 const SET_METHODS = ['add', 'has', 'delete']
-/** Each of these visits the whole array. */
+/** Methods that may iterate over the whole array; each call counts as the length of the array. */
 const ARRAY_METHODS = ['map', 'filter', 'some', 'every', 'find', 'slice', 'splice', 'sort', 'includes', 'flatMap']
 
-/** Runs `work` and gives the number of steps that it took in maps, sets, arrays and their iterators. */
+/** Runs `action` and returns the number of its operations on maps, sets, arrays and their iterators. */
 export function countOperations (action: () => void): number {
   let operations = 0
   const restores = [
--- a/packages/control/test/simulation.ts
+++ b/packages/control/test/simulation.ts
@@ -1,4 +1,4 @@
-/** One control group and its workers under a manual clock; a test decides what is delivered, lost, doubled or late. */
+/** Simulation of a control leader and its workers with a manual clock. Tests control the delivery of each message. */
 import {
   defaultRules, diffDocument, emptyConfiguration, NullEventLog, NullMetrics,
   type ConfigurationDocument, type JobSpec, type WorkerReport
@@ -11,7 +11,7 @@
 import { FakeScheduler, FakeValidator } from './fake-scheduler.js'
 import { ExecutionRecord, FakeWorker } from './fake-worker.js'
 
-/** Short times, so that a run covers many leases. */
+/** Short durations, so that a run covers many leases. */
 export const testSettings: ControlSettings = {
   ...defaultControlSettings,
   leaseMs: 1_000,
@@ -28,14 +28,14 @@
 }
 
 export const stateOptions = { settings: defaultControlStateSettings, validator: new FakeValidator() }
-/** Voters elect no leader for longer than a committed proposal proves leadership. */
+/** Election time-out, which must be longer than `leadershipValidMs`. */
 const ELECTION_TIMEOUT_MS = testSettings.leadershipValidMs + 1
 const REPORT_INTERVAL_MS = 100
 const ACCELERATORS_PER_WORKER = 4
 
 type SendOrders = Extract<ControlEffect, { kind: 'send_orders' }>
 
-/** Something on its way between the leader and a worker. */
+/** Message in transit between the leader and a worker. */
 export type Message =
   | { readonly kind: 'orders', readonly effect: SendOrders }
   | {
@@ -51,7 +51,7 @@
   readonly settings?: Partial<ControlSettings>
   readonly workers?: number
   readonly scheduler?: FakeScheduler
-  /** Changes messages on the way, to show that a checker notices. */
+  /** Modifies messages in transit, to show that a check detects the resulting violation. */
   readonly intercept?: (message: Message) => Message
 }
 
@@ -101,7 +101,7 @@
   proposals: Array<{ readonly proposalId: string, readonly command: ControlCommand }> = []
   scheduler: FakeScheduler
   leader: ControlLeader
-  /** The leader before, which does not know yet that it was replaced. */
+  /** Previous leader, which does not know yet that it was replaced. */
   formerLeader: ControlLeader | undefined
   nowMs = 0
   readonly #settings: ControlSettings
@@ -130,10 +130,10 @@
     return worker
   }
 
-  /** Gives the leader an event and takes in its effects. */
+  /** Passes an event to a leader and applies its effects. */
   dispatch (event: ControlEvent, leader = this.leader): void {
     const effects = leader.handle(event, this.nowMs)
-    // What a former leader proposes is never committed; its orders and answers still arrive.
+    // Proposals of a former leader are never committed, but its orders and answers are delivered.
     this.#applyEffects(effects, leader === this.leader)
   }
 
@@ -152,12 +152,12 @@
     this.dispatch({ kind: 'applied', proposalId, index: this.#index, command, result })
   }
 
-  /** Commits everything that is proposed, and what follows from it. */
+  /** Commits all proposals, including those that result from the commits. */
   commitAll (): void {
     while (this.proposals.length > 0) this.commit()
   }
 
-  /** Delivers a message; with `isKept` it stays on its way and arrives again. */
+  /** Delivers a message; with `isDuplicated` it stays in transit and is delivered again. */
   deliver (position: number, isDuplicated = false, isToFormerLeader = false): void {
     const message = this.messages[position]
     if (message === undefined) return
@@ -181,7 +181,7 @@
     this.#send({ kind: 'report', report: worker.report(this.nowMs), sentMs: this.nowMs })
   }
 
-  /** Lets time pass, with every wake of the leader and every end of a lease at its time. */
+  /** Advances time, with a `tick` at each wake-up time that the leader requests. */
   advance (elapsedMs: number): void {
     const endMs = this.nowMs + elapsedMs
     while (this.nowMs < endMs) {
@@ -192,7 +192,7 @@
     }
   }
 
-  /** Elects a new leader: the first `keptProposals` in flight are still committed, the others are lost. */
+  /** Elects a new leader. The first `committedCount` proposals in flight are still committed, the others are lost. */
   replaceLeader (committedCount = 0): void {
     for (const { command } of this.proposals.splice(0, committedCount)) this.#apply(command)
     this.proposals = []
@@ -209,7 +209,7 @@
     for (const worker of this.workers) worker.advance(this.nowMs)
   }
 
-  /** Takes one step in the order in which things were sent; false when nothing is on its way. */
+  /** Commits the next proposal or else delivers the next message, in sending order; false if there is neither. */
   step (): boolean {
     if (this.proposals.length > 0) this.commit()
     else if (this.messages.length > 0) this.deliver(0)
@@ -217,7 +217,7 @@
     return true
   }
 
-  /** Works without faults for a time, with regular reports. */
+  /** Runs without faults for a time, with regular worker reports. */
   run (durationMs: number): void {
     const endMs = this.nowMs + durationMs
     for (let reportMs = this.nowMs; this.nowMs < endMs; reportMs += REPORT_INTERVAL_MS) {
@@ -229,7 +229,7 @@
     }
   }
 
-  /** Ends all faults and runs until every job has ended or `limitMs` have passed. */
+  /** Ends all faults and runs until every job has ended, for at most `limitMs`. */
   recover (limitMs = 60_000): void {
     this.formerLeader = undefined
     for (const worker of this.workers) {
--- a/packages/control/test/state.test.ts
+++ b/packages/control/test/state.test.ts
@@ -25,7 +25,7 @@
 const options = { settings, validator: new FakeValidator(3) }
 const START_MS = 1_700_000_000_000
 
-/** Applies commands at rising positions. */
+/** Applies commands to a state at increasing log positions. */
 class CommandLog {
   state = new ControlState(options)
   index = 0
@@ -66,12 +66,12 @@
 
 let claimantCount = 0
 
-/** A claim by a request of its own; every call is another one. */
+/** Creates a claim by a new claimant. */
 function claim (key: string, digest = 'd1', organisationId = 'o1'): ControlCommand {
   return { kind: 'claim_request', organisationId, key, digest, claimantId: `request-${claimantCount++}` }
 }
 
-/** A settlement by the request that holds the claim. */
+/** Creates a settlement by the claimant that holds the claim. */
 function settle (log: CommandLog, key: string, state: 'completed' | 'not_run' | 'unknown', bytes = 0): ControlCommand {
   const claimantId = log.state.claim('o1', key)?.claimantId ?? ''
   const answer = bytes === 0 ? null : { status: 200, contentType: 'text/plain', body: new Uint8Array(bytes) }
@@ -83,7 +83,7 @@
   return result.kind === 'refused' ? result.failure.kind : result.kind
 }
 
-test('a late or doubled life cycle command is refused, so that an old lease never changes a newer placement', t => {
+test('late and duplicate life cycle commands are refused, so that an old lease never changes a newer placement', t => {
   const log = logWithJob()
   t.is(resultKind(log.apply(place('j0', ['w0', 'w1']))), 'done')
   const leaseId = log.index
@@ -96,7 +96,7 @@
   t.is(log.state.job('j0')?.starts, 1)
 })
 
-test('a placement on held cells, a lost, drained or unknown worker, or of part of a gang is refused', t => {
+test('a placement is refused on allocated cells, on a lost, drained or unknown worker, and for part of a gang', t => {
   const log = logWithJob()
   log.apply({ kind: 'submit_job', spec: job('j1') })
   log.apply(place('j0', ['w0', 'w1']))
@@ -115,7 +115,7 @@
   t.is(resultKind(log.apply(place('j2', ['w2']))), 'done')
 })
 
-test('a started job that may run once cannot be requeued, and a cancellation overrides a requeue but never the reverse', t => {
+test('a started non-repeatable job cannot be requeued, and a cancellation replaces a requeue but not the reverse', t => {
   const log = logWithJob()
   log.apply({ kind: 'submit_job', spec: job('once', { preemption: 'none', tasks: 1 }) })
   log.apply(place('once', ['w2']))
@@ -133,7 +133,7 @@
   t.is(resultKind(log.apply({ kind: 'requeue_job', jobId: 'j0', leaseId: other.leaseId, reason: '' })), 'stale_term')
 })
 
-test('ended jobs are kept for a bounded time and count, and open ones for as long as they are open', t => {
+test('ended jobs are removed beyond the retention period or the maximum count, and open jobs are kept', t => {
   const log = logWithJob()
   for (let number = 1; number <= 5; number += 1) {
     log.apply({ kind: 'submit_job', spec: job(`j${number}`) })
@@ -145,7 +145,7 @@
   t.deepEqual([...log.state.jobs()].map(({ spec }) => spec.jobId), ['j0'])
 })
 
-test('the same job twice is one job whatever the order of its fields, and other content is refused', t => {
+test('submitting a job twice is idempotent regardless of field order, and a different specification is refused', t => {
   const log = logWithJob()
   const reordered = Object.fromEntries(Object.entries(job('j0')).reverse()) as ReturnType<typeof job>
   t.is(resultKind(log.apply({ kind: 'submit_job', spec: reordered })), 'done')
@@ -153,7 +153,7 @@
   t.is([...log.state.jobs()].length, 1)
 })
 
-test('only a UUID of version 7 with the right variant is a key, and both spellings name one claim', t => {
+test('only a version 7 UUID with the right variant is a valid key, and keys are case-insensitive', t => {
   const log = configuredLog()
   const key = keyAt(START_MS, 0xab)
   t.is(resultKind(log.apply(claim(key))), 'granted')
@@ -167,14 +167,14 @@
   t.is(resultKind(log.apply(claim(keyAt(START_MS), 'd1', 'nobody'))), 'unknown_organisation')
 })
 
-test('claims above the bound of an organisation are refused, and those that exist are still answered', t => {
+test('claims above the limit of an organisation are refused, and existing claims are still answered', t => {
   const log = configuredLog()
   for (let number = 0; number < 8; number += 1) t.is(resultKind(log.apply(claim(keyAt(START_MS, number)))), 'granted')
   t.is(resultKind(log.apply(claim(keyAt(START_MS, 8)))), 'quota_exceeded')
   t.is(resultKind(log.apply(claim(keyAt(START_MS, 7)))), 'known')
 })
 
-test('recorded answers are bounded one by one and in total, and a dropped answer leaves the claim completed', t => {
+test('recorded answers are limited individually and in total, and a claim stays completed without its answer', t => {
   const log = configuredLog()
   const keys = [0, 1, 2, 3].map(number => keyAt(START_MS, number))
   keys.forEach((key, number) => {
@@ -186,7 +186,7 @@
   t.deepEqual(views.map(view => view?.answer?.body.length), [undefined, 8, 8, undefined])
 })
 
-test('a settled claim stays as it is, so a late settlement changes no answer', t => {
+test('a final settlement cannot be replaced, so that a late settlement changes no answer', t => {
   const log = configuredLog()
   const key = keyAt(START_MS)
   log.apply(claim(key))
@@ -200,7 +200,7 @@
 type Transform = (snapshot: ControlSnapshot) => ControlSnapshot
 const unchanged: Transform = snapshot => snapshot
 
-test('a claim that nobody settles within the longest deadline is shown as unknown, and can still be settled', t => {
+test('a claim that is not settled within the maximum deadline is shown as unknown and can still be settled', t => {
   const log = configuredLog()
   const key = keyAt(START_MS)
   log.apply(claim(key))
@@ -211,7 +211,7 @@
   t.is(log.state.claimView('o1', key)?.state, 'completed')
 })
 
-/** Plays claims of a few keys at jumping times and gives the keys that were granted twice. */
+/** Claims a few keys at irregular times and returns the keys that were granted twice. */
 function findDoubleGrants (steps: ReadonlyArray<readonly [number, number]>, transform = unchanged): string[] {
   const log = configuredLog()
   const granted = new Set<string>()
@@ -225,7 +225,7 @@
     }
     const state = elapsedMs % 2 === 0 ? 'not_run' : 'unknown'
     const isSettled = elapsedMs % 3 === 0 && resultKind(log.apply(settle(log, key, state))) === 'done'
-    // What certainly did not run may be granted to a repeat.
+    // A request that certainly did not run may be granted again.
     if (isSettled && state === 'not_run') granted.delete(key)
     if (elapsedMs % 5 === 0) log.state = ControlState.restore(transform(log.state.snapshot()), options)
   }
@@ -234,12 +234,12 @@
 
 const claimSteps = fc.array(fc.tuple(fc.integer({ min: -6, max: 8 }), fc.nat(HOUR_MS / 2)), { maxLength: 60 })
 
-test('a key is granted at most once whatever repeats, settlements, restarts and the end of retention', t => {
+test('a key is granted at most once across repeats, settlements, restores and the end of retention', t => {
   fc.assert(fc.property(claimSteps, steps => findDoubleGrants(steps).length === 0), { seed: 7, numRuns: 500 })
   t.pass()
 })
 
-test('the checker of grants notices claims that are forgotten too early', t => {
+test('the check for double grants detects claims that are removed too early', t => {
   const forget: Transform = snapshot => ({ ...snapshot, claims: [] })
   t.true(fc.check(fc.property(claimSteps, steps => findDoubleGrants(steps, forget).length === 0), { seed: 7 }).failed)
 })
@@ -249,7 +249,7 @@
   return { version, baseVersion: version - 1, upserts: [{ kind: 'organisation', record }], removes: [] }
 }
 
-/** Plays changes of racing operators and gives versions that went back or had two contents. */
+/** Applies changes of racing operators and returns versions that decreased or were accepted with two contents. */
 function findVersionErrors (steps: ReadonlyArray<readonly [number, number]>, transform = unchanged): string[] {
   const log = configuredLog()
   const accepted = new Map<number, number>()
@@ -262,7 +262,7 @@
     if (result === 'done') accepted.set(version, weight)
     else if (accepted.get(version) === weight && offset > -5) problems.push(`version ${version} is refused on resend: ${result}`)
     if (weight % 4 === 0) log.state = ControlState.restore(transform(log.state.snapshot()), options)
-    if (log.state.configuration.version < before) problems.push(`version ${before} went back`)
+    if (log.state.configuration.version < before) problems.push(`version ${before} was replaced by an older one`)
   }
   return problems
 }
@@ -270,12 +270,12 @@
 const changeStep = fc.tuple(fc.integer({ min: -7, max: 2 }), fc.integer({ min: 1, max: 5 }))
 const changeSteps = fc.array(changeStep, { maxLength: 60 })
 
-test('racing changes of one version have one winner, resends get the first answer, and no version goes back', t => {
+test('one of several racing changes of a version is accepted, resends get the same answer, and no version decreases', t => {
   fc.assert(fc.property(changeSteps, steps => findVersionErrors(steps).length === 0), { seed: 11, numRuns: 500 })
   t.pass()
 })
 
-test('the checker of versions notices a restore that forgets the last change', t => {
+test('the check for version errors detects a restore that loses the last change', t => {
   const revert: Transform = snapshot => {
     const version = Math.max(1, snapshot.configuration.version - 1)
     return { ...snapshot, configuration: { ...snapshot.configuration, version } }
@@ -285,7 +285,7 @@
   ), { seed: 11 }).failed)
 })
 
-test('a conflict names the version in force, and a version too old to compare is refused instead of guessed', t => {
+test('a conflict names the version in force, and a version whose digest is no longer kept is refused', t => {
   const log = configuredLog()
   for (let version = 2; version <= 10; version += 1) log.apply({ kind: 'apply_configuration', change: weightChange(version, version) })
   const conflict = log.apply({ kind: 'apply_configuration', change: weightChange(9, 3) })
@@ -295,7 +295,7 @@
   t.is(resultKind(log.apply({ kind: 'apply_configuration', change: weightChange(12, 1) })), 'version_gap')
 })
 
-test('guarantees that the inventory cannot hold are refused and leave the version as it is', t => {
+test('guarantees that the inventory cannot satisfy are refused and leave the version unchanged', t => {
   const log = configuredLog()
   const guarantee = (cells: number): ConfigurationChange => ({
     version: 2,
@@ -311,7 +311,7 @@
   t.is(resultKind(log.apply({ kind: 'apply_configuration', change: guarantee(3) })), 'done')
 })
 
-test('the feed gets the changes that it lacks, and a full copy where they are no longer kept', t => {
+test('changesSince returns the missing changes, and undefined if they are no longer kept', t => {
   const log = configuredLog()
   for (let version = 2; version <= 8; version += 1) log.apply({ kind: 'apply_configuration', change: weightChange(version, 1) })
   t.deepEqual(log.state.changesSince(6)?.map(({ version }) => version), [7, 8])
@@ -322,34 +322,37 @@
 
 const WORKER_IDS = ['w0', 'w1', 'w2', 'w3']
 
-/** Commands about a few jobs, workers and keys, many of them late, doubled or impossible. */
+/** Encoded commands for a few jobs, workers and keys, many of them late, duplicate or invalid. */
 const commandEntries = fc.array(fc.tuple(fc.nat(13), fc.nat(5), fc.nat(20), fc.nat(HOUR_MS / 4)), { maxLength: 120 })
 
-function toCommand (log: CommandLog, [kind, which, detail]: readonly [number, number, number, number]): ControlCommand {
-  const jobId = `j${which}`
-  const leaseId = detail === 0 ? 1 : log.state.job(jobId)?.leaseId ?? 0
-  const workerId = WORKER_IDS[which % 4] ?? 'w0'
-  const key = keyAt(START_MS + detail * 60_000, which)
+function toCommand (
+  log: CommandLog,
+  [kind, target, variant]: readonly [number, number, number, number]
+): ControlCommand {
+  const jobId = `j${target}`
+  const leaseId = variant === 0 ? 1 : log.state.job(jobId)?.leaseId ?? 0
+  const workerId = WORKER_IDS[target % 4] ?? 'w0'
+  const key = keyAt(START_MS + variant * 60_000, target)
   switch (kind) {
-    case 0: return { kind: 'apply_configuration', change: weightChange(log.state.configuration.version + detail % 3, detail + 1) }
-    case 1: return { kind: 'submit_job', spec: job(jobId, { tasks: 1 + which % 2, preemption: which % 3 === 0 ? 'none' : 'repeat' }) }
-    case 2: return place(jobId, which % 2 === 0 ? [workerId] : ['w0', 'w1'], detail % 2 * 2, detail % 3 === 0 ? 2 : 4)
+    case 0: return { kind: 'apply_configuration', change: weightChange(log.state.configuration.version + variant % 3, variant + 1) }
+    case 1: return { kind: 'submit_job', spec: job(jobId, { tasks: 1 + target % 2, preemption: target % 3 === 0 ? 'none' : 'repeat' }) }
+    case 2: return place(jobId, target % 2 === 0 ? [workerId] : ['w0', 'w1'], variant % 2 * 2, variant % 3 === 0 ? 2 : 4)
     case 3: return { kind: 'start_job', jobId, leaseId }
     case 4: return { kind: 'job_running', jobId, leaseId }
-    case 5: return { kind: 'stop_job', jobId, leaseId, reason: '', isCheckpoint: false, then: detail % 2 === 0 ? 'requeue' : 'cancelled' }
+    case 5: return { kind: 'stop_job', jobId, leaseId, reason: '', isCheckpoint: false, then: variant % 2 === 0 ? 'requeue' : 'cancelled' }
     case 6: return { kind: 'requeue_job', jobId, leaseId, reason: '' }
-    case 7: return { kind: 'end_job', jobId, leaseId, outcome: detail % 2 === 0 ? 'completed' : 'cancelled', reason: '' }
-    case 8: case 9: return workerState(workerId, detail === 1 ? 'lost' : 'active', 1 + detail % 2)
-    case 10: return { kind: 'set_drain', drain: { kind: 'worker', id: workerId }, isDraining: detail % 2 === 0 }
-    case 11: return claim(key, detail % 7 === 0 ? 'other' : 'd1')
-    case 12: return settle(log, key, detail % 2 === 0 ? 'completed' : 'unknown', which + 3)
-    default: return detail < 10
+    case 7: return { kind: 'end_job', jobId, leaseId, outcome: variant % 2 === 0 ? 'completed' : 'cancelled', reason: '' }
+    case 8: case 9: return workerState(workerId, variant === 1 ? 'lost' : 'active', 1 + variant % 2)
+    case 10: return { kind: 'set_drain', drain: { kind: 'worker', id: workerId }, isDraining: variant % 2 === 0 }
+    case 11: return claim(key, variant % 7 === 0 ? 'other' : 'd1')
+    case 12: return settle(log, key, variant % 2 === 0 ? 'completed' : 'unknown', target + 3)
+    default: return variant < 10
       ? { kind: 'clock' }
       : { kind: 'apply_configuration', change: { ...weightChange(log.state.configuration.version + 1, 1), removes: [{ kind: 'worker', id: workerId }] } }
   }
 }
 
-/** Plays commands on a state that is restored after each one, and compares it with a replay. */
+/** Applies commands to a state that is restored after each of them, and compares it with a replayed state. */
 function findDifference (
   entries: ReadonlyArray<Parameters<typeof toCommand>[1]>,
   transform = unchanged
@@ -369,48 +372,48 @@
   return undefined
 }
 
-test('a state restored from its snapshot after every entry is the state of a replay', t => {
+test('a state restored from a snapshot after every entry equals the state of a replay', t => {
   fc.assert(fc.property(commandEntries, list => findDifference(list) === undefined), { seed: 23, numRuns: 200 })
   t.pass()
 })
 
-test('the checker of snapshots notices one that leaves out the drains', t => {
+test('the comparison with a replay detects a snapshot without its drains', t => {
   const leaveOut: Transform = snapshot => ({ ...snapshot, drains: [] })
   t.true(fc.check(fc.property(
     commandEntries, list => findDifference(list, leaveOut) === undefined
   ), { seed: 23 }).failed)
 })
 
-/** Accelerators held by two open jobs, as the state has them. */
+/** Returns the accelerators that the state allocates to two jobs. */
 function findDoubleAllocations (state: ControlState): string[] {
   const jobByAccelerator = new Map<string, string>()
-  const shared: string[] = []
+  const problems: string[] = []
   for (const { spec, placement } of state.jobs()) {
     for (const { workerId, firstAccelerator, acceleratorCount } of placement?.tasks ?? []) {
       for (let offset = 0; offset < acceleratorCount; offset += 1) {
-        const name = `${workerId}/${firstAccelerator + offset}`
-        if (jobByAccelerator.has(name)) shared.push(`${name} is held by ${jobByAccelerator.get(name)} and ${spec.jobId}`)
-        jobByAccelerator.set(name, spec.jobId)
+        const accelerator = `${workerId}/${firstAccelerator + offset}`
+        if (jobByAccelerator.has(accelerator)) problems.push(`${accelerator} is allocated to ${jobByAccelerator.get(accelerator)} and ${spec.jobId}`)
+        jobByAccelerator.set(accelerator, spec.jobId)
       }
     }
   }
-  return shared
+  return problems
 }
 
-test('no sequence of commands gives an accelerator to two jobs or starts a job twice that may run once', t => {
+test('no sequence of commands allocates an accelerator to two jobs or starts a non-repeatable job twice', t => {
   fc.assert(fc.property(commandEntries, list => {
     const log = configuredLog()
     for (const entry of list) {
       log.apply(toCommand(log, entry))
-      const isOnce = [...log.state.jobs()].every(({ spec, starts }) => spec.preemption !== 'none' || starts <= 1)
-      if (findDoubleAllocations(log.state).length > 0 || !isOnce) return false
+      const isStartedOnce = [...log.state.jobs()].every(({ spec, starts }) => spec.preemption !== 'none' || starts <= 1)
+      if (findDoubleAllocations(log.state).length > 0 || !isStartedOnce) return false
     }
     return true
   }), { seed: 29, numRuns: 300 })
   t.pass()
 })
 
-test('the checker of holds notices a placement that was put in unchecked', t => {
+test('the check for double allocations detects a placement that was not validated', t => {
   const log = logWithJob()
   log.apply(place('j0', ['w0', 'w1']))
   const snapshot = log.state.snapshot()
