--- a/packages/control/src/canonical-json.ts
+++ b/packages/control/src/canonical-json.ts
@@ -8,7 +8,7 @@
  * canonicalJson({ b: 1, a: 2 }) // '{"a":2,"b":1}'
  */
 export function canonicalJson (value: unknown): string {
-  return JSON.stringify(value, (_key, inner: unknown) => isPlainObject(inner) ? sortFields(inner) : inner)
+  return JSON.stringify(value, (_key, nested: unknown) => isPlainObject(nested) ? sortFields(nested) : nested)
 }
 
 /** Length of the digests returned by `contentDigest`: SHA-256 truncated to 128 bits. */
--- a/packages/control/src/cell-allocations.ts
+++ b/packages/control/src/cell-allocations.ts
@@ -15,24 +15,24 @@
 export class CellAllocations {
   readonly #byWorker = new Map<string, readonly CellAllocation[]>()
 
-  onWorker (workerId: string): readonly CellAllocation[] {
+  forWorker (workerId: string): readonly CellAllocation[] {
     return this.#byWorker.get(workerId) ?? []
   }
 
   /** Returns the first allocated cell that shares an accelerator with the task. */
   findConflict (task: TaskPlacement): CellAllocation | undefined {
-    return this.onWorker(task.workerId).find(held => shareAccelerators(held.task, task))
+    return this.forWorker(task.workerId).find(allocation => shareAccelerators(allocation.task, task))
   }
 
   allocate (jobId: string, leaseId: number, placement: Placement): void {
     for (const task of placement.tasks) {
-      this.#byWorker.set(task.workerId, [...this.onWorker(task.workerId), { jobId, leaseId, task }])
+      this.#byWorker.set(task.workerId, [...this.forWorker(task.workerId), { jobId, leaseId, task }])
     }
   }
 
   release (jobId: string, placement: Placement): void {
     for (const { workerId } of placement.tasks) {
-      const remaining = this.onWorker(workerId).filter(held => held.jobId !== jobId)
+      const remaining = this.forWorker(workerId).filter(allocation => allocation.jobId !== jobId)
       if (remaining.length === 0) this.#byWorker.delete(workerId)
       else this.#byWorker.set(workerId, remaining)
     }
--- a/packages/control/src/deadline-queue.ts
+++ b/packages/control/src/deadline-queue.ts
@@ -17,14 +17,14 @@
 export class DeadlineQueue {
   readonly #deadlines = new Map<string, number>()
   /** Time of the earliest heap entry of each key. */
-  readonly #queuedAtMs = new Map<string, number>()
+  readonly #earliestEntryMs = new Map<string, number>()
   readonly #heap: HeapEntry[] = []
 
   /** Sets or replaces the deadline of a key. */
   set (key: string, atMs: number): void {
     this.#deadlines.set(key, atMs)
-    const queuedAtMs = this.#queuedAtMs.get(key)
-    if (queuedAtMs === undefined || atMs < queuedAtMs) this.#push({ key, atMs })
+    const earliestEntryMs = this.#earliestEntryMs.get(key)
+    if (earliestEntryMs === undefined || atMs < earliestEntryMs) this.#push({ key, atMs })
   }
 
   delete (key: string): void {
@@ -46,8 +46,8 @@
     const due: string[] = []
     for (let entry = this.#heap[0]; entry !== undefined && entry.atMs <= nowMs; entry = this.#heap[0]) {
       this.#pop()
-      if (this.#queuedAtMs.get(entry.key) !== entry.atMs) continue
-      this.#queuedAtMs.delete(entry.key)
+      if (this.#earliestEntryMs.get(entry.key) !== entry.atMs) continue
+      this.#earliestEntryMs.delete(entry.key)
       const atMs = this.#deadlines.get(entry.key)
       if (atMs === undefined) continue
       if (atMs > nowMs) {
@@ -62,18 +62,18 @@
 
   #removeStaleEntries (): void {
     for (let entry = this.#heap[0]; entry !== undefined; entry = this.#heap[0]) {
-      const isCurrent = this.#queuedAtMs.get(entry.key) === entry.atMs
+      const isCurrent = this.#earliestEntryMs.get(entry.key) === entry.atMs
       const atMs = this.#deadlines.get(entry.key)
       if (isCurrent && atMs === entry.atMs) return
       this.#pop()
       if (!isCurrent) continue
-      this.#queuedAtMs.delete(entry.key)
+      this.#earliestEntryMs.delete(entry.key)
       if (atMs !== undefined) this.#push({ key: entry.key, atMs })
     }
   }
 
   #push (entry: HeapEntry): void {
-    this.#queuedAtMs.set(entry.key, entry.atMs)
+    this.#earliestEntryMs.set(entry.key, entry.atMs)
     const heap = this.#heap
     let position = heap.length
     heap.push(entry)
--- a/packages/control/src/drains.ts
+++ b/packages/control/src/drains.ts
@@ -27,7 +27,7 @@
       return done
     }
     if (this.#drains.size >= this.#maxDrains && !this.#drains.has(key)) {
-      return refuse('queue_full', `${this.#drains.size} drains are active, ${this.#maxDrains} are allowed`)
+      return refuse('queue_full', `${this.#drains.size} drains are active, at most ${this.#maxDrains} are allowed`)
     }
     this.#drains.set(key, { kind, id })
     return done
--- a/packages/control/src/gang-life-cycle.ts
+++ b/packages/control/src/gang-life-cycle.ts
@@ -28,7 +28,7 @@
   readonly #deadlines = new DeadlineQueue()
   readonly #proposalRetries = new DeadlineQueue()
   /** Stop requests for jobs whose placement is not committed yet. */
-  readonly #deferredStops = new Map<string, { readonly intent: StopRequest, readonly isReclaimed: boolean }>()
+  readonly #deferredStops = new Map<string, { readonly request: StopRequest, readonly isReclaimed: boolean }>()
 
   constructor (context: LeaderContext, schedulerDriver: SchedulerDriver, availability: WorkerAvailability) {
     this.#context = context
@@ -57,7 +57,7 @@
     this.#orderAllTasks(gang, 'prepare')
     const deferred = this.#deferredStops.get(gang.jobId)
     this.#deferredStops.delete(gang.jobId)
-    if (deferred !== undefined) this.requestStop(gang.jobId, deferred.intent, deferred.isReclaimed, nowMs)
+    if (deferred !== undefined) this.requestStop(gang.jobId, deferred.request, deferred.isReclaimed, nowMs)
   }
 
   /** Handles a committed `start_job`: orders every worker to start its task, repeatedly until it accepts. */
@@ -81,7 +81,7 @@
   onReleased (jobId: string, nowMs: number): void {
     const gang = this.#gangs.get(jobId)
     this.#deferredStops.delete(jobId)
-    this.#schedulerDriver.onRemoved(jobId, gang?.isReclaimed ?? false, nowMs)
+    this.#schedulerDriver.remove(jobId, gang?.isReclaimed ?? false, nowMs)
     if (gang === undefined) return
     this.#gangs.delete(jobId)
     this.#deadlines.delete(jobId)
@@ -105,7 +105,7 @@
     const gang = this.#gangs.get(jobId)
     if (gang === undefined) {
       const isPlaced = this.#schedulerDriver.isPlaced(jobId)
-      if (isPlaced) this.#deferredStops.set(jobId, { intent: request, isReclaimed })
+      if (isPlaced) this.#deferredStops.set(jobId, { request, isReclaimed })
       return isPlaced
     }
     gang.isReclaimed ||= isReclaimed
@@ -116,7 +116,7 @@
 
   onOrderOutcome (outcome: OrderOutcome, nowMs: number): void {
     const gang = this.#find(outcome.order.jobId, outcome.order.leaseId)
-    const task = gang?.task(outcome.order.taskIndex)
+    const task = gang?.findTask(outcome.order.taskIndex)
     if (gang === undefined || task === undefined || task.progress === 'released') return
     switch (outcome.order.kind) {
       case 'prepare': this.#onPrepareOutcome(gang, task, outcome, nowMs); break
@@ -132,7 +132,7 @@
   onReport (workerId: string, reports: ReadonlyMap<string, TaskReport>, nowMs: number): void {
     for (const { jobId, leaseId, task: { taskIndex } } of this.#context.state.cellsOn(workerId)) {
       const gang = this.#find(jobId, leaseId)
-      const task = gang?.task(taskIndex)
+      const task = gang?.findTask(taskIndex)
       if (gang === undefined || task === undefined || task.progress === 'released') continue
       const report = reports.get(taskReportKey({ jobId, taskIndex, leaseId }))
       if (report === undefined) this.#onTaskMissing(gang, task)
@@ -141,11 +141,11 @@
     }
   }
 
-  /** Handles the certain end of a worker process or of its lease, which ends all of its tasks. */
+  /** Handles the end of a worker process or of its lease, after which none of its tasks can be running. */
   onWorkerGone (workerId: string, reason: string, nowMs: number): void {
     for (const { jobId, leaseId, task: { taskIndex } } of this.#context.state.cellsOn(workerId)) {
       const gang = this.#find(jobId, leaseId)
-      const task = gang?.task(taskIndex)
+      const task = gang?.findTask(taskIndex)
       if (gang === undefined || task === undefined || task.progress === 'completed') continue
       task.progress = 'released'
       gang.requestStop(requeueRequest(reason))
--- a/packages/control/src/gang.ts
+++ b/packages/control/src/gang.ts
@@ -52,11 +52,11 @@
     }
   }
 
-  task (taskIndex: number): GangTask | undefined {
+  findTask (taskIndex: number): GangTask | undefined {
     return this.tasks.find(task => task.placement.taskIndex === taskIndex)
   }
 
-  isEveryTask (...progress: readonly TaskProgress[]): boolean {
+  areAllTasks (...progress: readonly TaskProgress[]): boolean {
     return this.tasks.every(task => progress.includes(task.progress))
   }
 }
@@ -78,11 +78,11 @@
 }
 
 function startCommand (gang: Gang): ControlCommand | undefined {
-  return gang.isEveryTask('held') ? { kind: 'start_job', jobId: gang.jobId, leaseId: gang.leaseId } : undefined
+  return gang.areAllTasks('held') ? { kind: 'start_job', jobId: gang.jobId, leaseId: gang.leaseId } : undefined
 }
 
 function runningCommand (gang: Gang): ControlCommand | undefined {
-  return gang.isEveryTask('started', 'completed')
+  return gang.areAllTasks('started', 'completed')
     ? { kind: 'job_running', jobId: gang.jobId, leaseId: gang.leaseId }
     : undefined
 }
@@ -109,8 +109,8 @@
 
 function releaseCommand (gang: Gang, job: JobRecord): ControlCommand | undefined {
   const { jobId, leaseId } = gang
-  if (job.stop?.isUnstarted === false && gang.isEveryTask('completed')) return completedCommand(gang)
-  if (!gang.isEveryTask('completed', 'released')) return undefined
+  if (job.stop?.isUnstarted === false && gang.areAllTasks('completed')) return completedCommand(gang)
+  if (!gang.areAllTasks('completed', 'released')) return undefined
   const then = job.stop?.then ?? 'requeue'
   return then === 'requeue'
     ? { kind: 'requeue_job', jobId, leaseId, reason: job.detail }
--- a/packages/control/src/jobs.ts
+++ b/packages/control/src/jobs.ts
@@ -70,10 +70,10 @@
     if (existing !== undefined) return isSameSpec(existing.spec, spec) ? done : refuseDifferentSpec(spec.jobId)
     const { maxOpenJobs, maxOpenJobsPerOrganisation } = this.#settings
     const open = this.#jobs.size - this.#endedByAge.size
-    if (open >= maxOpenJobs) return refuse('queue_full', `${open} jobs are open, ${maxOpenJobs} are allowed`)
+    if (open >= maxOpenJobs) return refuse('queue_full', `${open} jobs are open, at most ${maxOpenJobs} are allowed`)
     const organisationOpen = this.#openCountByOrganisation.get(spec.organisationId) ?? 0
     if (organisationOpen >= maxOpenJobsPerOrganisation) {
-      return refuse('quota_exceeded', `organisation ${spec.organisationId} has ${organisationOpen} open jobs, ${maxOpenJobsPerOrganisation} are allowed`)
+      return refuse('quota_exceeded', `organisation ${spec.organisationId} has ${organisationOpen} open jobs, at most ${maxOpenJobsPerOrganisation} are allowed`)
     }
     this.#insert({
       spec,
--- a/packages/control/src/leader.ts
+++ b/packages/control/src/leader.ts
@@ -47,7 +47,7 @@
   readonly #gangs: GangLifeCycle
   readonly #workers: WorkerService
   readonly #operations: OperationService
-  /** By waiting job: time at which its end, whose proposal failed, is reconsidered. */
+  /** Waiting jobs whose end was proposed but not applied, with the time at which they are reconsidered. */
   readonly #endRetries = new DeadlineQueue()
   #isStarted = false
   #nextClockAtMs = 0
@@ -72,7 +72,7 @@
     return this.#takeEffects(nowMs)
   }
 
-  /** Time by which the leader needs its next event, at least a `tick`. */
+  /** Returns the time at which the leader needs a `tick` unless it handles another event before. */
   nextWakeAtMs (): number {
     if (!this.#isStarted) return 0
     return earliest([
@@ -107,7 +107,7 @@
       }
     }
     for (const job of this.#jobsInPhase('waiting')) this.#enqueue(job, nowMs)
-    this.#workers.dropTasksOfLostWorkers(nowMs)
+    this.#workers.releaseTasksOfLostWorkers(nowMs)
   }
 
   #jobsInPhase (phase: JobRecord['phase']): JobRecord[] {
@@ -134,7 +134,7 @@
     this.#workers.tick(nowMs)
     this.#gangs.tick(nowMs)
     this.#availability.tick(nowMs)
-    for (const jobId of this.#endRetries.takeDue(nowMs)) this.#onPlacementNotApplied(jobId, nowMs)
+    for (const jobId of this.#endRetries.takeDue(nowMs)) this.#resyncScheduler(jobId, nowMs)
     for (const decision of this.#schedulerDriver.runPass(nowMs)) this.#executeDecision(decision, nowMs)
     if (nowMs < this.#nextClockAtMs) return
     this.#context.proposals.propose({ kind: 'clock' }, { kind: 'clock' }, nowMs)
@@ -240,7 +240,7 @@
     switch (purpose.kind) {
       case 'operation': this.#operations.onApplied(proposal, result, nowMs); break
       case 'gang': this.#gangs.onProposalSettled(purpose.jobId, purpose.leaseId, isApplied, nowMs); break
-      case 'placement': if (!isApplied) this.#onPlacementNotApplied(purpose.jobId, nowMs); break
+      case 'placement': if (!isApplied) this.#resyncScheduler(purpose.jobId, nowMs); break
       case 'worker': this.#workers.onProposalSettled(purpose.workerId, isApplied, nowMs); break
       case 'waiting_job': if (!isApplied) this.#endRetries.set(purpose.jobId, this.#retryAtMs(nowMs)); break
       case 'proof': case 'clock': break
@@ -254,7 +254,7 @@
     switch (purpose.kind) {
       case 'operation': this.#operations.onRejected(proposal, isNotApplied, nowMs); break
       case 'gang': this.#gangs.onProposalSettled(purpose.jobId, purpose.leaseId, false, nowMs); break
-      case 'placement': this.#onPlacementNotApplied(purpose.jobId, nowMs); break
+      case 'placement': this.#resyncScheduler(purpose.jobId, nowMs); break
       case 'worker': this.#workers.onProposalSettled(purpose.workerId, false, nowMs); break
       case 'waiting_job': this.#endRetries.set(purpose.jobId, this.#retryAtMs(nowMs)); break
       case 'proof': this.#refusePendingReports(); break
@@ -263,12 +263,12 @@
   }
 
   /**
-   * Requeues a job whose placement was not applied. A proposal reported as rejected may have been committed after all;
-   * then the scheduler is given the placement in the state.
+   * Replaces what the scheduler knows of a job by the state, after a proposal for the job was not applied. The job
+   * usually waits again, but a placement that was reported as rejected may have been committed after all.
    */
-  #onPlacementNotApplied (jobId: string, nowMs: number): void {
+  #resyncScheduler (jobId: string, nowMs: number): void {
     const job = this.#context.state.job(jobId)
-    this.#schedulerDriver.onRemoved(jobId, false, nowMs)
+    this.#schedulerDriver.remove(jobId, false, nowMs)
     if (job?.phase === 'waiting') this.#enqueue(job, nowMs)
     else if (job !== undefined) this.#schedulerDriver.onPlaced(job, nowMs)
   }
--- a/packages/control/src/operation-service.ts
+++ b/packages/control/src/operation-service.ts
@@ -19,8 +19,8 @@
   | { readonly kind: 'propose', readonly command: ControlCommand }
   | { readonly kind: 'later' }
 
-/** Attempts at a cancellation whose command was refused because the job had changed since the decision. */
-const MAX_ATTEMPTS = 4
+/** Maximum attempts at a cancellation. An attempt fails if the job changes between the decision and its commit. */
+const MAX_CANCEL_ATTEMPTS = 4
 
 /** Handles the operations of one leader. */
 export class OperationService {
@@ -63,7 +63,7 @@
       if (command.kind === 'submit_job') this.#withdrawUnsubmitted(command.spec, nowMs)
       const hasJobChanged = result.failure.kind === 'stale_term' && operation.kind === 'cancel_job'
       if (!hasJobChanged) this.reply(requestId, { ok: false, failure: result.failure })
-      else if (attempt < MAX_ATTEMPTS) this.handle(requestId, operation, nowMs, attempt + 1)
+      else if (attempt < MAX_CANCEL_ATTEMPTS) this.handle(requestId, operation, nowMs, attempt + 1)
       else this.reply(requestId, fail('control_unavailable', `the job changed during ${attempt} attempts to cancel it`))
       return
     }
@@ -264,7 +264,7 @@
   }
 
   #withdrawUnsubmitted ({ jobId }: JobSpec, nowMs: number): void {
-    if (this.#context.state.job(jobId) === undefined) this.#schedulerDriver.onRemoved(jobId, false, nowMs)
+    if (this.#context.state.job(jobId) === undefined) this.#schedulerDriver.remove(jobId, false, nowMs)
   }
 }
 
--- a/packages/control/src/orders.ts
+++ b/packages/control/src/orders.ts
@@ -18,7 +18,7 @@
  * - `stop` is accepted once the task no longer runs and its accelerators are free. The worker refuses the lease from
  *   then on, whether it knew it or not, because a reordered `prepare` may still arrive. The same applies to a lease
  *   that it released on expiry.
- * - An ended task holds no accelerators and is reported until the worker receives a `stop` for it.
+ * - An ended task holds no accelerators and is reported until the leader tells the worker to stop it.
  */
 export type OrderKind = 'prepare' | 'start' | 'checkpoint' | 'throttle' | 'stop'
 
--- a/packages/control/src/ports.ts
+++ b/packages/control/src/ports.ts
@@ -11,8 +11,8 @@
 /**
  * Gang scheduler as seen by the control leader.
  *
- * The scheduler tracks a job from `submit` or `restore` until `cancel`, `ended` or `reclaimed`. None of these three
- * requeues the job: the leader submits a requeued job again. All three ignore an unknown job.
+ * The scheduler tracks a job from its submission or restoration until it is cancelled, ended or reclaimed. None of
+ * these three requeues the job: the leader submits a requeued job again. All three ignore an unknown job.
  */
 export abstract class JobScheduler {
   /** Replaces the configuration; joined workers and placed jobs are kept. */
@@ -25,7 +25,7 @@
   abstract submit (job: JobSpec, nowMs: number): Failure | undefined
   /** Adds a job that is already placed, for example after a change of leader. Its workers may not have joined. */
   abstract restore (job: JobSpec, placement: Placement, startedMs: number): void
-  /** Removes a waiting job. A placed one stays until `ended` or `reclaimed`, but its run time does not count. */
+  /** Removes a waiting job. A placed one keeps its cells until they are released, but its run time does not count. */
   abstract cancel (jobId: string, nowMs: number): void
   abstract taskFailed (jobId: string, workerId: string, nowMs: number): void
   /** Removes a placed job whose tasks are all released. */
--- a/packages/control/src/scheduler-driver.ts
+++ b/packages/control/src/scheduler-driver.ts
@@ -49,8 +49,8 @@
     this.requestPass()
   }
 
-  /** Removes a job from the scheduler, because it ended, its cells were released, or its proposal failed. */
-  onRemoved (jobId: string, isReclaimed: boolean, nowMs: number): void {
+  /** Removes a job from the scheduler: it ended, its cells were released, or a proposal for it was not applied. */
+  remove (jobId: string, isReclaimed: boolean, nowMs: number): void {
     const phase = this.#phases.get(jobId)
     if (phase === undefined) return
     this.#phases.delete(jobId)
--- a/packages/control/src/state.ts
+++ b/packages/control/src/state.ts
@@ -172,7 +172,7 @@
 
   /** Returns the cells of a worker that are allocated to placed jobs. */
   cellsOn (workerId: string): readonly CellAllocation[] {
-    return this.#jobs.allocations.onWorker(workerId)
+    return this.#jobs.allocations.forWorker(workerId)
   }
 
   drains (): Drain[] {
@@ -271,7 +271,7 @@
   }
 
   #deleteRemovedWorker (workerId: string): void {
-    if (this.#jobs.allocations.onWorker(workerId).length > 0) return
+    if (this.#jobs.allocations.forWorker(workerId).length > 0) return
     if (this.configuration.workers.has(workerId)) return
     this.#workers.remove(workerId)
     this.#drains.set({ kind: 'worker', id: workerId }, false)
--- a/packages/control/src/worker-leases.ts
+++ b/packages/control/src/worker-leases.ts
@@ -8,6 +8,7 @@
 export interface WorkerSession {
   readonly workerId: string
   readonly incarnation: number
+  /** Sequence number of the last report; -1 before the first one. */
   readonly sequence: number
   readonly address: string
   /** False once the lease has certainly expired, until the next report. */
@@ -74,9 +75,9 @@
   }
 }
 
-function reportFreshness (known: WorkerSession | undefined, incarnation: number, sequence: number): ReportFreshness {
-  if (known === undefined) return 'first'
-  if (incarnation > known.incarnation) return 'new_incarnation'
-  if (incarnation < known.incarnation) return 'old_incarnation'
-  return sequence > known.sequence ? 'next' : 'old_sequence'
+function reportFreshness (session: WorkerSession | undefined, incarnation: number, sequence: number): ReportFreshness {
+  if (session === undefined) return 'first'
+  if (incarnation > session.incarnation) return 'new_incarnation'
+  if (incarnation < session.incarnation) return 'old_incarnation'
+  return sequence > session.sequence ? 'next' : 'old_sequence'
 }
--- a/packages/control/src/worker-service.ts
+++ b/packages/control/src/worker-service.ts
@@ -42,8 +42,8 @@
     }
   }
 
-  /** Handles tasks on workers recorded as lost as ended. Must be called after the gangs are resumed. */
-  dropTasksOfLostWorkers (nowMs: number): void {
+  /** Releases the tasks on workers that are recorded as lost. Must be called after the gangs are resumed. */
+  releaseTasksOfLostWorkers (nowMs: number): void {
     for (const { workerId, state } of this.#context.state.workers()) {
       if (state === 'lost') this.#gangs.onWorkerGone(workerId, `worker ${workerId} is lost`, nowMs)
     }
@@ -89,7 +89,7 @@
       .map(({ requestId, report }) => ({ requestId, result: { ok: true, value: this.#grantLease(report) } }))
   }
 
-  /** Removes and returns the requests of pending reports, which cannot be answered because leadership is unproven. */
+  /** Removes the pending reports because leadership could not be proven; returns the IDs of their requests. */
   takePendingRequestIds (): string[] {
     const requestIds = this.#pendingReports.map(({ requestId }) => requestId)
     this.#pendingReports = []
@@ -188,7 +188,7 @@
   }
 }
 
-/** A worker that drains because it is leaving stays so until its process restarts. */
+/** A leaving worker stays in the state `draining` until its process restarts. */
 function desiredState (record: WorkerRecord | undefined, { hasLease, incarnation }: WorkerSession): WorkerRecord['state'] {
   if (!hasLease) return 'lost'
   const isSameProcess = record !== undefined && record.incarnation === incarnation && record.state !== 'lost'
--- a/packages/control/src/workers.ts
+++ b/packages/control/src/workers.ts
@@ -28,9 +28,9 @@
 
   /** Applies a change, unless a later incarnation is recorded. */
   apply ({ workerId, state, incarnation, address }: WorkerStateCommand): CommandResult {
-    const known = this.#workers.get(workerId)
-    if (known !== undefined && known.incarnation > incarnation) {
-      return refuse('stale_term', `worker ${workerId} has incarnation ${known.incarnation}, but the command is for incarnation ${incarnation}`)
+    const existing = this.#workers.get(workerId)
+    if (existing !== undefined && existing.incarnation > incarnation) {
+      return refuse('stale_term', `worker ${workerId} has incarnation ${existing.incarnation}, but the command is for incarnation ${incarnation}`)
     }
     this.#workers.set(workerId, { workerId, state, incarnation, address })
     return done
--- a/packages/control/test/execution-checks.ts
+++ b/packages/control/test/execution-checks.ts
@@ -10,11 +10,12 @@
 }
 
 /** Finds tasks that ran before every task of their gang was prepared. */
-export function findPartialGangs ({ executions, holds }: ExecutionRecord, jobs: readonly JobRecord[]): string[] {
+export function findPartialGangs ({ executions, preparations }: ExecutionRecord, jobs: readonly JobRecord[]): string[] {
   return executions.filter(execution => {
     const tasks = jobs.find(({ spec }) => spec.jobId === execution.jobId)?.spec.tasks ?? 0
-    const held = holds.filter(hold => hold.leaseId === execution.leaseId && hold.atMs <= execution.startMs)
-    return new Set(held.map(({ taskIndex }) => taskIndex)).size < tasks
+    const prepared = preparations.filter(preparation =>
+      preparation.leaseId === execution.leaseId && preparation.atMs <= execution.startMs)
+    return new Set(prepared.map(({ taskIndex }) => taskIndex)).size < tasks
   }).map(execution => `${describe(execution)} ran before its whole gang was prepared`)
 }
 
--- a/packages/control/test/fake-worker.ts
+++ b/packages/control/test/fake-worker.ts
@@ -16,7 +16,7 @@
 }
 
 /** An accepted `prepare` of a task. */
-export interface Hold {
+export interface Preparation {
   readonly jobId: string
   readonly leaseId: number
   readonly taskIndex: number
@@ -26,7 +26,7 @@
 /** Ground truth of a simulation, written only by the workers. */
 export class ExecutionRecord {
   readonly executions: Execution[] = []
-  readonly holds: Hold[] = []
+  readonly preparations: Preparation[] = []
 }
 
 export type WorkerBehaviour = 'works' | 'refuses' | 'fails' | 'ignores_stop'
@@ -164,7 +164,7 @@
     if (this.behaviour === 'refuses' || this.#refusedLeases.has(key)) return 'refused'
     const { jobId, leaseId, taskIndex } = order
     this.#tasks.set(key, { order, state: 'prepared', execution: undefined })
-    this.#record.holds.push({ jobId, leaseId, taskIndex, atMs: nowMs })
+    this.#record.preparations.push({ jobId, leaseId, taskIndex, atMs: nowMs })
     return 'accepted'
   }
 
--- a/packages/control/test/gang-life-cycle.test.ts
+++ b/packages/control/test/gang-life-cycle.test.ts
@@ -74,7 +74,7 @@
 
 for (const committedCount of [0, 1, 99]) {
   for (const delivery of ['dropped', 'late', 'to the former leader'] as const) {
-    test(`replacing the leader after any step loses no job and breaks up no gang: ${committedCount} proposals committed, messages ${delivery}`, t => {
+    test(`replacing the leader after any step loses no job and runs no gang partially: ${committedCount} proposals committed, messages ${delivery}`, t => {
       const total = takeSteps(simulationWithJobs(), Number.POSITIVE_INFINITY)
       t.true(total > 60, `${total} steps`)
       for (let steps = 0; steps < total; steps += 1) {
@@ -92,8 +92,8 @@
 }
 
 for (const settings of [{}, { unstartedReleaseWaitMs: 30 }]) {
-  const name = `releases confirmed within ${settings.unstartedReleaseWaitMs ?? 'a lease'}`
-  test(`replacing the leader during a restart, a cancellation or a reclaim loses no job and breaks up no gang: ${name}`, t => {
+  const name = `unstartedReleaseWaitMs ${settings.unstartedReleaseWaitMs ?? 'default'}`
+  test(`replacing the leader after any step of a restart, a reclaim and a cancellation loses no job and runs no gang partially: ${name}`, t => {
     const total = takeSteps(simulationWithJobs({ settings }), Number.POSITIVE_INFINITY, createFaultInjector())
     for (let steps = 0; steps < total; steps += 1) {
       const simulation = simulationWithJobs({ settings })
@@ -107,7 +107,7 @@
   })
 }
 
-test('replacing the leader twice in a row after any step loses no job and breaks up no gang', t => {
+test('replacing the leader twice in a row after any step loses no job and runs no gang partially', t => {
   const total = takeSteps(simulationWithJobs(), Number.POSITIVE_INFINITY)
   for (let steps = 0; steps < total; steps += 1) {
     const simulation = simulationWithJobs()
@@ -120,15 +120,15 @@
   }
 })
 
-for (const fault of ['lost', 'doubled', 'late'] as const) {
-  test(`a single message that is ${fault} loses no job and breaks up no gang`, t => {
+for (const fault of ['lost', 'duplicated', 'late'] as const) {
+  test(`a single message that is ${fault} loses no job and runs no gang partially`, t => {
     const total = takeSteps(simulationWithJobs(), Number.POSITIVE_INFINITY)
     for (let steps = 0; steps < total; steps += 1) {
       const simulation = simulationWithJobs()
       takeSteps(simulation, steps)
       const message = simulation.messages[0]
       if (message === undefined || simulation.proposals.length > 0) continue
-      if (fault === 'doubled') simulation.deliver(0, true)
+      if (fault === 'duplicated') simulation.deliver(0, true)
       else simulation.drop(0)
       simulation.run(fault === 'late' ? 400 : 0)
       if (fault === 'late') simulation.messages.push(message)
@@ -139,14 +139,14 @@
 }
 
 type Action = readonly [
-  kind: 'commit' | 'deliver' | 'double' | 'drop' | 'former' | 'advance' | 'report' | 'die' | 'restart' | 'freeze' |
-  'resume' | 'cut' | 'rejoin' | 'refuse' | 'fail' | 'work' | 'replace' | 'submit' | 'cancel' | 'reclaim' | 'drain' | 'run',
+  kind: 'commit' | 'deliver' | 'duplicate' | 'drop' | 'deliverToFormer' | 'advance' | 'report' | 'crash' | 'restart' | 'freeze' |
+  'resume' | 'partition' | 'reconnect' | 'refuse' | 'fail' | 'work' | 'replace' | 'submit' | 'cancel' | 'reclaim' | 'drain' | 'run',
   value: number
 ]
 
 const actionWeights: ReadonlyArray<readonly [Action[0], number]> = [
-  ['commit', 30], ['deliver', 30], ['double', 6], ['drop', 4], ['former', 6], ['advance', 12], ['report', 16], ['die', 1],
-  ['restart', 2], ['freeze', 3], ['resume', 3], ['cut', 3], ['rejoin', 3], ['refuse', 1], ['fail', 1], ['work', 2], ['replace', 3], ['submit', 6],
+  ['commit', 30], ['deliver', 30], ['duplicate', 6], ['drop', 4], ['deliverToFormer', 6], ['advance', 12], ['report', 16], ['crash', 1],
+  ['restart', 2], ['freeze', 3], ['resume', 3], ['partition', 3], ['reconnect', 3], ['refuse', 1], ['fail', 1], ['work', 2], ['replace', 3], ['submit', 6],
   ['cancel', 2], ['reclaim', 3], ['drain', 1], ['run', 8]
 ]
 
@@ -163,17 +163,17 @@
   switch (kind) {
     case 'commit': simulation.commit(); break
     case 'deliver': simulation.deliver(position); break
-    case 'double': simulation.deliver(position, true); break
+    case 'duplicate': simulation.deliver(position, true); break
     case 'drop': simulation.drop(position); break
-    case 'former': simulation.deliver(position, false, true); break
+    case 'deliverToFormer': simulation.deliver(position, false, true); break
     case 'advance': simulation.advance(value); break
     case 'report': simulation.sendReport(worker); break
-    case 'die': worker.crash(simulation.nowMs); break
+    case 'crash': worker.crash(simulation.nowMs); break
     case 'restart': worker.restart(simulation.nowMs); break
     case 'freeze': worker.freeze(simulation.nowMs); break
     case 'resume': worker.resume(simulation.nowMs); break
-    case 'cut': worker.isPartitioned = true; break
-    case 'rejoin': worker.isPartitioned = false; break
+    case 'partition': worker.isPartitioned = true; break
+    case 'reconnect': worker.isPartitioned = false; break
     case 'refuse': worker.behaviour = 'refuses'; break
     case 'fail': worker.behaviour = 'fails'; break
     case 'work': worker.behaviour = 'works'; break
@@ -204,7 +204,7 @@
 }
 
 for (const unstartedReleaseWaitMs of [60_000, 30]) {
-  test(`random faults and new leaders never run a gang partially or twice: releases confirmed within ${unstartedReleaseWaitMs} ms`, t => {
+  test(`random faults and new leaders never run a gang partially or twice: unstartedReleaseWaitMs ${unstartedReleaseWaitMs}`, t => {
     fc.assert(fc.property(actions, list => {
       const problems = violations(runActions(list, { settings: { unstartedReleaseWaitMs } }))
       if (problems.length > 0) throw new Error(problems.join('\n'))
--- a/packages/control/test/state.test.ts
+++ b/packages/control/test/state.test.ts
@@ -234,14 +234,16 @@
 
 const claimSteps = fc.array(fc.tuple(fc.integer({ min: -6, max: 8 }), fc.nat(HOUR_MS / 2)), { maxLength: 60 })
 
-test('a key is granted at most once across repeats, settlements, restores and the end of retention', t => {
+test('a key is granted once across repeats, restores and expiry unless its request certainly did not run', t => {
   fc.assert(fc.property(claimSteps, steps => findDoubleGrants(steps).length === 0), { seed: 7, numRuns: 500 })
   t.pass()
 })
 
 test('the check for double grants detects claims that are removed too early', t => {
-  const forget: Transform = snapshot => ({ ...snapshot, claims: [] })
-  t.true(fc.check(fc.property(claimSteps, steps => findDoubleGrants(steps, forget).length === 0), { seed: 7 }).failed)
+  const dropClaims: Transform = snapshot => ({ ...snapshot, claims: [] })
+  t.true(fc.check(fc.property(
+    claimSteps, steps => findDoubleGrants(steps, dropClaims).length === 0
+  ), { seed: 7 }).failed)
 })
 
 function weightChange (version: number, weight: number): ConfigurationChange {
@@ -276,12 +278,12 @@
 })
 
 test('the check for version errors detects a restore that loses the last change', t => {
-  const revert: Transform = snapshot => {
+  const dropLastChange: Transform = snapshot => {
     const version = Math.max(1, snapshot.configuration.version - 1)
     return { ...snapshot, configuration: { ...snapshot.configuration, version } }
   }
   t.true(fc.check(fc.property(
-    changeSteps, steps => findVersionErrors(steps, revert).length === 0
+    changeSteps, steps => findVersionErrors(steps, dropLastChange).length === 0
   ), { seed: 11 }).failed)
 })
 
@@ -378,9 +380,9 @@
 })
 
 test('the comparison with a replay detects a snapshot without its drains', t => {
-  const leaveOut: Transform = snapshot => ({ ...snapshot, drains: [] })
+  const dropDrains: Transform = snapshot => ({ ...snapshot, drains: [] })
   t.true(fc.check(fc.property(
-    commandEntries, list => findDifference(list, leaveOut) === undefined
+    commandEntries, list => findDifference(list, dropDrains) === undefined
   ), { seed: 23 }).failed)
 })
 
