--- a/packages/control/src/deadline-queue.ts
+++ b/packages/control/src/deadline-queue.ts
@@ -1,13 +1,13 @@
-/** One deadline per key, in a binary heap. */
+/** Priority queue of deadlines, one per key. */
 
-interface Entry {
+interface HeapEntry {
   readonly key: string
   readonly atMs: number
 }
 
 /**
- * Keyed deadlines. A later deadline for a key costs constant time: its entry in the heap is moved when it comes up, so
- * that thousands of lease renewals a second do not reorder the heap.
+ * Binary heap of keyed deadlines. Postponing a deadline takes constant time: its heap entry is reinserted lazily, when
+ * it reaches the top, so that thousands of lease renewals per second do not reorder the heap.
  *
  * @example
  * const queue = new DeadlineQueue()
@@ -17,14 +17,14 @@
 export class DeadlineQueue {
   readonly #deadlines = new Map<string, number>()
   /** Time of the earliest heap entry of each key. */
-  readonly #queuedAt = new Map<string, number>()
-  readonly #heap: Entry[] = []
+  readonly #earliestEntryMs = new Map<string, number>()
+  readonly #heap: HeapEntry[] = []
 
-  /** Sets or moves the deadline of a key. */
+  /** Sets or replaces the deadline of a key. */
   set (key: string, atMs: number): void {
     this.#deadlines.set(key, atMs)
-    const queuedAtMs = this.#queuedAt.get(key)
-    if (queuedAtMs === undefined || atMs < queuedAtMs) this.#push({ key, atMs })
+    const earliestEntryMs = this.#earliestEntryMs.get(key)
+    if (earliestEntryMs === undefined || atMs < earliestEntryMs) this.#push({ key, atMs })
   }
 
   delete (key: string): void {
@@ -35,19 +35,19 @@
     return this.#deadlines.get(key)
   }
 
-  /** Time of the earliest deadline, or one shortly before it; undefined when there is none. */
-  nextAtMs (): number | undefined {
-    this.#dropStale()
+  /** Returns the time of the earliest deadline, or undefined if there is none. */
+  nextWakeAtMs (): number | undefined {
+    this.#removeStaleEntries()
     return this.#heap[0]?.atMs
   }
 
-  /** Removes and gives the keys whose deadline is not after `nowMs`. */
+  /** Removes and returns the keys whose deadline is at or before `nowMs`. */
   takeDue (nowMs: number): string[] {
     const due: string[] = []
     for (let entry = this.#heap[0]; entry !== undefined && entry.atMs <= nowMs; entry = this.#heap[0]) {
       this.#pop()
-      if (this.#queuedAt.get(entry.key) !== entry.atMs) continue
-      this.#queuedAt.delete(entry.key)
+      if (this.#earliestEntryMs.get(entry.key) !== entry.atMs) continue
+      this.#earliestEntryMs.delete(entry.key)
       const atMs = this.#deadlines.get(entry.key)
       if (atMs === undefined) continue
       if (atMs > nowMs) {
@@ -60,20 +60,20 @@
     return due
   }
 
-  #dropStale (): void {
+  #removeStaleEntries (): void {
     for (let entry = this.#heap[0]; entry !== undefined; entry = this.#heap[0]) {
-      const isQueued = this.#queuedAt.get(entry.key) === entry.atMs
+      const isCurrent = this.#earliestEntryMs.get(entry.key) === entry.atMs
       const atMs = this.#deadlines.get(entry.key)
-      if (isQueued && atMs === entry.atMs) return
+      if (isCurrent && atMs === entry.atMs) return
       this.#pop()
-      if (!isQueued) continue
-      this.#queuedAt.delete(entry.key)
+      if (!isCurrent) continue
+      this.#earliestEntryMs.delete(entry.key)
       if (atMs !== undefined) this.#push({ key: entry.key, atMs })
     }
   }
 
-  #push (entry: Entry): void {
-    this.#queuedAt.set(entry.key, entry.atMs)
+  #push (entry: HeapEntry): void {
+    this.#earliestEntryMs.set(entry.key, entry.atMs)
     const heap = this.#heap
     let position = heap.length
     heap.push(entry)
@@ -90,10 +90,10 @@
   #pop (): void {
     const last = this.#heap.pop()
     if (last === undefined || this.#heap.length === 0) return
-    this.#sink(last)
+    this.#siftDown(last)
   }
 
-  #sink (entry: Entry): void {
+  #siftDown (entry: HeapEntry): void {
     const heap = this.#heap
     let position = 0
     for (let child = this.#smallerChild(position); child !== undefined; child = this.#smallerChild(position)) {
@@ -115,7 +115,7 @@
 }
 
 /**
- * Gives the earliest of several times, of which any may be absent.
+ * Returns the earliest of several optional times.
  *
  * @example
  * earliest([undefined, 7, 5]) // 5
--- a/packages/control/src/gang.ts
+++ b/packages/control/src/gang.ts
@@ -1,36 +1,39 @@
-/** One placed gang in the memory of the leader, and the next step of its life cycle. */
+/** Volatile state of a placed gang on the leader, and the transitions of its life cycle. */
 import type { TaskPlacement } from '@comfreygrade/core'
-import { mayRequeue, type JobRecord } from './jobs.js'
+import { canRequeue, type JobRecord } from './jobs.js'
 import type { ControlCommand, StopGoal } from './commands.js'
 
-/** How far a task is known to be; `released` means that it certainly runs no more and holds nothing. */
+/**
+ * Progress of a task as far as the leader knows: `ordered` until its worker accepted `prepare`, and `released` once it
+ * certainly neither runs nor holds accelerators.
+ */
 export type TaskProgress = 'ordered' | 'held' | 'started' | 'completed' | 'released'
 
 /** One task of a placed gang. */
 export interface GangTask {
   readonly placement: TaskPlacement
   progress: TaskProgress
-  /** Reports in a row without the task. */
+  /** Consecutive worker reports that did not list the task. */
   missingReports: number
 }
 
-/** Why a gang has to leave its cells and what follows; a job that may not run again ends as failed instead. */
-export interface StopIntent {
+/** Request to stop a gang. Where the goal is a requeue and the job cannot run again, the job ends as failed instead. */
+export interface StopRequest {
   readonly reason: string
   readonly isCheckpoint: boolean
   readonly goal: StopGoal
 }
 
-/** Progress of one gang under one lease. */
+/** One gang under one lease. */
 export class Gang {
   readonly jobId: string
   readonly leaseId: number
   readonly tasks: readonly GangTask[]
-  /** Set while a command of the life cycle is in flight, so that no step is taken twice. */
-  isProposing = false
-  /** Set when the scheduler asked the job to leave. */
+  /** Whether a life cycle command is in flight; no other is proposed meanwhile. */
+  hasPendingCommand = false
+  /** Whether the scheduler decided to reclaim the cells of the job. */
   isReclaimed = false
-  #stopIntent: StopIntent | undefined
+  #stopRequest: StopRequest | undefined
 
   constructor (job: JobRecord, progress: TaskProgress) {
     this.jobId = job.spec.jobId
@@ -38,76 +41,76 @@
     this.tasks = (job.placement?.tasks ?? []).map(placement => ({ placement, progress, missingReports: 0 }))
   }
 
-  get stopIntent (): StopIntent | undefined {
-    return this.#stopIntent
+  get stopRequest (): StopRequest | undefined {
+    return this.#stopRequest
   }
 
-  /** Keeps the first reason; only an end replaces a requeue. */
-  intendStop (intent: StopIntent): void {
-    if (this.#stopIntent === undefined || (this.#stopIntent.goal === 'requeue' && intent.goal !== 'requeue')) {
-      this.#stopIntent = intent
+  /** Keeps the first request, except that a request to end the job replaces a request to requeue it. */
+  requestStop (request: StopRequest): void {
+    if (this.#stopRequest === undefined || (this.#stopRequest.goal === 'requeue' && request.goal !== 'requeue')) {
+      this.#stopRequest = request
     }
   }
 
-  task (taskIndex: number): GangTask | undefined {
+  findTask (taskIndex: number): GangTask | undefined {
     return this.tasks.find(task => task.placement.taskIndex === taskIndex)
   }
 
-  every (...progress: readonly TaskProgress[]): boolean {
+  areAllTasks (...progress: readonly TaskProgress[]): boolean {
     return this.tasks.every(task => progress.includes(task.progress))
   }
 }
 
 /**
- * Gives the command that takes a gang to its next step, or undefined when it has to wait for workers.
+ * Returns the command for the next transition of a gang, or undefined while it waits for its workers.
  *
  * @example
- * nextStep(gang, job)?.kind // 'start_job' when all workers of a preparing gang hold their cells
+ * nextCommand(gang, job)?.kind // 'start_job' when all tasks of a preparing gang are held
  */
-export function nextStep (gang: Gang, job: JobRecord): ControlCommand | undefined {
+export function nextCommand (gang: Gang, job: JobRecord): ControlCommand | undefined {
   switch (job.phase) {
-    case 'preparing': return stopStep(gang, job) ?? startStep(gang)
-    case 'starting': return completedStep(gang) ?? stopStep(gang, job) ?? runningStep(gang)
-    case 'running': return completedStep(gang) ?? stopStep(gang, job)
-    case 'stopping': return overrideStep(gang, job) ?? releaseStep(gang, job)
+    case 'preparing': return stopCommand(gang, job) ?? startCommand(gang)
+    case 'starting': return completedCommand(gang) ?? stopCommand(gang, job) ?? runningCommand(gang)
+    case 'running': return completedCommand(gang) ?? stopCommand(gang, job)
+    case 'stopping': return overrideCommand(gang, job) ?? releaseCommand(gang, job)
     default: return undefined
   }
 }
 
-function startStep (gang: Gang): ControlCommand | undefined {
-  return gang.every('held') ? { kind: 'start_job', jobId: gang.jobId, leaseId: gang.leaseId } : undefined
+function startCommand (gang: Gang): ControlCommand | undefined {
+  return gang.areAllTasks('held') ? { kind: 'start_job', jobId: gang.jobId, leaseId: gang.leaseId } : undefined
 }
 
-function runningStep (gang: Gang): ControlCommand | undefined {
-  return gang.every('started', 'completed')
+function runningCommand (gang: Gang): ControlCommand | undefined {
+  return gang.areAllTasks('started', 'completed')
     ? { kind: 'job_running', jobId: gang.jobId, leaseId: gang.leaseId }
     : undefined
 }
 
-function completedStep ({ jobId, leaseId, tasks }: Gang): ControlCommand | undefined {
+function completedCommand ({ jobId, leaseId, tasks }: Gang): ControlCommand | undefined {
   const isCompleted = tasks.every(task => task.progress === 'completed')
   return isCompleted
     ? { kind: 'end_job', jobId, leaseId, outcome: 'completed', reason: 'all tasks completed' }
     : undefined
 }
 
-function stopStep ({ jobId, leaseId, stopIntent }: Gang, job: JobRecord): ControlCommand | undefined {
-  if (stopIntent === undefined) return undefined
-  const { reason, isCheckpoint, goal } = stopIntent
-  const then = goal === 'requeue' && !mayRequeue(job) ? 'failed' : goal
-  const mayCheckpoint = job.phase === 'running' && job.spec.preemption === 'checkpoint'
-  return { kind: 'stop_job', jobId, leaseId, reason, isCheckpoint: isCheckpoint && mayCheckpoint, then }
+function stopCommand ({ jobId, leaseId, stopRequest }: Gang, job: JobRecord): ControlCommand | undefined {
+  if (stopRequest === undefined) return undefined
+  const { reason, isCheckpoint, goal } = stopRequest
+  const then = goal === 'requeue' && !canRequeue(job) ? 'failed' : goal
+  const canCheckpoint = job.phase === 'running' && job.spec.preemption === 'checkpoint'
+  return { kind: 'stop_job', jobId, leaseId, reason, isCheckpoint: isCheckpoint && canCheckpoint, then }
 }
 
-function overrideStep (gang: Gang, job: JobRecord): ControlCommand | undefined {
-  const isOverride = gang.stopIntent !== undefined && gang.stopIntent.goal !== 'requeue' && job.stop?.then === 'requeue'
-  return isOverride ? stopStep(gang, job) : undefined
+function overrideCommand (gang: Gang, job: JobRecord): ControlCommand | undefined {
+  const isRequeueOverridden = gang.stopRequest !== undefined && gang.stopRequest.goal !== 'requeue' && job.stop?.then === 'requeue'
+  return isRequeueOverridden ? stopCommand(gang, job) : undefined
 }
 
-function releaseStep (gang: Gang, job: JobRecord): ControlCommand | undefined {
+function releaseCommand (gang: Gang, job: JobRecord): ControlCommand | undefined {
   const { jobId, leaseId } = gang
-  if (job.stop?.isUnstarted === false && gang.every('completed')) return completedStep(gang)
-  if (!gang.every('completed', 'released')) return undefined
+  if (job.stop?.isUnstarted === false && gang.areAllTasks('completed')) return completedCommand(gang)
+  if (!gang.areAllTasks('completed', 'released')) return undefined
   const then = job.stop?.then ?? 'requeue'
   return then === 'requeue'
     ? { kind: 'requeue_job', jobId, leaseId, reason: job.detail }
--- a/packages/control/src/leader-context.ts
+++ b/packages/control/src/leader-context.ts
@@ -1,13 +1,13 @@
-/** What the parts of the control leader share. */
+/** Dependencies shared by the components of the control leader. */
 import type { EventLog, Metrics } from '@comfreygrade/core'
 import type { OrderOutbox } from './order-outbox.js'
 import type { JobScheduler } from './ports.js'
-import type { Proposals } from './proposals.js'
+import type { PendingProposals } from './pending-proposals.js'
 import type { ControlSettings } from './settings.js'
 import type { ControlState } from './state.js'
 import type { WorkerLeases } from './worker-leases.js'
 
-/** Collaborators of one leader for one term. */
+/** Dependencies of one leader during its term. */
 export interface LeaderContext {
   readonly term: number
   readonly state: ControlState
@@ -15,7 +15,7 @@
   readonly settings: ControlSettings
   readonly metrics: Metrics
   readonly log: EventLog
-  readonly proposals: Proposals
+  readonly proposals: PendingProposals
   readonly outbox: OrderOutbox
   readonly leases: WorkerLeases
 }
--- a/packages/control/src/operation-service.ts
+++ b/packages/control/src/operation-service.ts
@@ -1,4 +1,4 @@
-/** Operations of entry VMs: reads are answered from the state, writes when their command is applied. */
+/** Operations of entry VMs. Reads are answered from the state, writes once their command is applied. */
 import { fail, failure, succeed, type Failure, type JobExplanation, type JobSpec } from '@comfreygrade/core'
 import { isGrantable } from './claims.js'
 import { isSameSpec, toJobView, type JobRecord } from './jobs.js'
@@ -6,91 +6,95 @@
 import type { ControlAnswer, ControlOperation, ControlResult, WorkerView } from './operations.js'
 import type { ControlEffect } from './orders.js'
 import type { LeaderContext } from './leader-context.js'
-import type { Proposal, WriteOperation } from './proposals.js'
-import type { Scheduling } from './scheduling.js'
+import type { Proposal, WriteOperation } from './pending-proposals.js'
+import type { SchedulerDriver } from './scheduler-driver.js'
 import type { WorkerService } from './worker-service.js'
 
 type OperationOf<Kind extends ControlOperation['kind']> = Extract<ControlOperation, { kind: Kind }>
 
-/** What an operation leads to at once: an answer, a command to commit, or an answer that comes later. */
-type Step =
+/** Immediate outcome of an operation: an answer, a refusal, a command to propose, or an answer given later. */
+type OperationDecision =
   | { readonly kind: 'answer', readonly answer: ControlAnswer }
   | { readonly kind: 'refuse', readonly failure: Failure }
   | { readonly kind: 'propose', readonly command: ControlCommand }
   | { readonly kind: 'later' }
 
-/** A decision that is refused because the job moved on is taken anew this often. */
-const MAX_ATTEMPTS = 4
+/** Maximum attempts at a cancellation. An attempt fails if the job changes between the decision and its commit. */
+const MAX_CANCEL_ATTEMPTS = 4
 
-/** Answers operations under this leader. */
+/** Handles the operations of one leader. */
 export class OperationService {
   readonly #context: LeaderContext
-  readonly #scheduling: Scheduling
+  readonly #schedulerDriver: SchedulerDriver
   readonly #workers: WorkerService
   readonly #effects: ControlEffect[]
 
-  constructor (context: LeaderContext, scheduling: Scheduling, workers: WorkerService, effects: ControlEffect[]) {
+  constructor (
+    context: LeaderContext,
+    schedulerDriver: SchedulerDriver,
+    workers: WorkerService,
+    effects: ControlEffect[]
+  ) {
     this.#context = context
-    this.#scheduling = scheduling
+    this.#schedulerDriver = schedulerDriver
     this.#workers = workers
     this.#effects = effects
   }
 
-  /** Answers an operation, or proposes its command. */
   handle (requestId: string, operation: ControlOperation, nowMs: number, attempt = 1): void {
-    const step = this.#decide(requestId, operation, nowMs)
-    switch (step.kind) {
-      case 'answer': this.reply(requestId, succeed(step.answer)); break
-      case 'refuse': this.reply(requestId, { ok: false, failure: step.failure }); break
+    const decision = this.#decide(requestId, operation, nowMs)
+    switch (decision.kind) {
+      case 'answer': this.reply(requestId, succeed(decision.answer)); break
+      case 'refuse': this.reply(requestId, { ok: false, failure: decision.failure }); break
       case 'propose': {
         const purpose = { kind: 'operation' as const, requestId, operation: operation as WriteOperation, attempt }
-        this.#context.proposals.propose(step.command, purpose, nowMs)
+        this.#context.proposals.propose(decision.command, purpose, nowMs)
         break
       }
       case 'later': break
     }
   }
 
-  /** Answers an operation whose command was applied. */
-  applied ({ purpose, command }: Proposal, result: CommandResult, nowMs: number): void {
+  /** Answers an operation whose command was applied, or refused by the state. */
+  onApplied ({ purpose, command }: Proposal, result: CommandResult, nowMs: number): void {
     if (purpose.kind !== 'operation') return
     const { requestId, operation, attempt } = purpose
     if (result.kind === 'refused') {
-      if (command.kind === 'submit_job') this.#forgetUnsubmitted(command.spec, nowMs)
-      const isOvertaken = result.failure.kind === 'stale_term' && operation.kind === 'cancel_job'
-      if (!isOvertaken) this.reply(requestId, { ok: false, failure: result.failure })
-      else if (attempt < MAX_ATTEMPTS) this.handle(requestId, operation, nowMs, attempt + 1)
+      if (command.kind === 'submit_job') this.#withdrawUnsubmitted(command.spec, nowMs)
+      const hasJobChanged = result.failure.kind === 'stale_term' && operation.kind === 'cancel_job'
+      if (!hasJobChanged) this.reply(requestId, { ok: false, failure: result.failure })
+      else if (attempt < MAX_CANCEL_ATTEMPTS) this.handle(requestId, operation, nowMs, attempt + 1)
       else this.reply(requestId, fail('control_unavailable', `the job changed during ${attempt} attempts to cancel it`))
       return
     }
-    this.reply(requestId, succeed(this.#answerOf(operation, result)))
+    this.reply(requestId, succeed(this.#answerApplied(operation, result)))
   }
 
-  /** Answers an operation whose command was rejected; without certainty it may still take effect. */
-  rejected ({ purpose, command }: Proposal, isCertain: boolean, nowMs: number): void {
+  /** Answers an operation whose proposal was rejected. Unless `isNotApplied`, the command may still take effect. */
+  onRejected ({ purpose, command }: Proposal, isNotApplied: boolean, nowMs: number): void {
     if (purpose.kind !== 'operation') return
-    if (command.kind === 'submit_job') this.#forgetUnsubmitted(command.spec, nowMs)
-    const cause = isCertain
-      ? failure('control_unavailable', 'leadership changed before the change was taken')
-      : failure('outcome_unknown', 'leadership changed before the change was known to be committed')
+    if (command.kind === 'submit_job') this.#withdrawUnsubmitted(command.spec, nowMs)
+    const cause = isNotApplied
+      ? failure('control_unavailable', 'leadership changed and the command was not applied')
+      : failure('outcome_unknown', 'leadership changed before the command was known to be committed')
     this.reply(purpose.requestId, { ok: false, failure: cause })
   }
 
   reply (requestId: string, result: ControlResult): void {
-    // Named apart from `refusal`, which the node that the caller asked counts for the same operation.
+    // Not `refusal`: the node that received the request counts the same operation under that name.
     if (!result.ok) this.#context.metrics.increment('control_refusal', { kind: result.failure.kind })
     this.#effects.push({ kind: 'reply', requestId, result })
   }
 
-  #decide (requestId: string, operation: ControlOperation, nowMs: number): Step {
+  #decide (requestId: string, operation: ControlOperation, nowMs: number): OperationDecision {
     switch (operation.kind) {
       case 'submit_job': return this.#submit(operation.spec, nowMs)
       case 'cancel_job': return this.#cancel(operation.jobId)
       case 'get_job': return this.#getJob(operation.jobId)
       case 'list_jobs': return this.#listJobs(operation)
       case 'explain_job': return this.#explain(operation.jobId, nowMs)
-      case 'report_worker': return this.#report(requestId, operation, nowMs)
-      case 'leave_worker': return this.#leave(operation.workerId)
+      case 'report_worker': return this.#reportWorker(requestId, operation, nowMs)
+      case 'leave_worker': return this.#leaveWorker(operation.workerId)
       case 'apply_change': return this.#applyChange(operation)
       case 'get_configuration': return answer(this.#configuration())
       case 'get_configuration_status': return answer(this.#configurationStatus())
@@ -103,26 +107,26 @@
     }
   }
 
-  /** A shape that no inventory could hold is refused here, so that it never enters the log. */
-  #submit (spec: JobSpec, nowMs: number): Step {
+  /** Refuses a job shape that the inventory cannot hold, so that it never enters the log. */
+  #submit (spec: JobSpec, nowMs: number): OperationDecision {
     const existing = this.#context.state.job(spec.jobId)
     if (existing !== undefined) {
       return isSameSpec(existing.spec, spec)
         ? answer({ kind: 'job', job: toJobView(existing) })
-        : refuse(failure('job_exists', `job ${spec.jobId} exists with other content`))
+        : refuse(failure('job_exists', `job ${spec.jobId} already exists with a different specification`))
     }
     if (!this.#context.state.configuration.organisations.has(spec.organisationId)) {
       return refuse(failure('unknown_organisation', `organisation ${spec.organisationId} is not in the inventory`))
     }
-    const problem = this.#scheduling.submit(spec, nowMs)
+    const problem = this.#schedulerDriver.submit(spec, nowMs)
     return problem === undefined ? propose({ kind: 'submit_job', spec }) : refuse(problem)
   }
 
-  #cancel (jobId: string): Step {
+  #cancel (jobId: string): OperationDecision {
     const job = this.#context.state.job(jobId)
     if (job === undefined) return refuse(failure('not_found', `job ${jobId} does not exist`))
-    const isLeaving = job.phase === 'stopping' && job.stop?.then !== 'requeue'
-    if (job.phase === 'ended' || isLeaving) return answer({ kind: 'job', job: toJobView(job) })
+    const isEnding = job.phase === 'stopping' && job.stop?.then !== 'requeue'
+    if (job.phase === 'ended' || isEnding) return answer({ kind: 'job', job: toJobView(job) })
     const { leaseId } = job
     const reason = 'cancelled by the caller'
     return job.phase === 'waiting'
@@ -130,14 +134,14 @@
       : propose({ kind: 'stop_job', jobId, leaseId, reason, isCheckpoint: false, then: 'cancelled' })
   }
 
-  #getJob (jobId: string): Step {
+  #getJob (jobId: string): OperationDecision {
     const job = this.#context.state.job(jobId)
     return job === undefined
       ? refuse(failure('not_found', `job ${jobId} does not exist`))
       : answer({ kind: 'job', job: toJobView(job) })
   }
 
-  #listJobs ({ phase, organisationId, limit }: OperationOf<'list_jobs'>): Step {
+  #listJobs ({ phase, organisationId, limit }: OperationOf<'list_jobs'>): OperationDecision {
     const jobs: JobRecord[] = []
     let total = 0
     for (const job of this.#jobsIn(phase)) {
@@ -160,29 +164,29 @@
     }
   }
 
-  #explain (jobId: string, nowMs: number): Step {
+  #explain (jobId: string, nowMs: number): OperationDecision {
     const job = this.#context.state.job(jobId)
     if (job === undefined) return refuse(failure('not_found', `job ${jobId} does not exist`))
-    const explanation = job.phase === 'ended' ? explainEnded(job) : this.#context.scheduler.explain(jobId, nowMs)
+    const explanation = job.phase === 'ended' ? explainEndedJob(job) : this.#context.scheduler.explain(jobId, nowMs)
     return answer({ kind: 'explanation', explanation })
   }
 
-  #report (requestId: string, { report }: OperationOf<'report_worker'>, nowMs: number): Step {
-    const problem = this.#workers.observe(report, nowMs)
+  #reportWorker (requestId: string, { report }: OperationOf<'report_worker'>, nowMs: number): OperationDecision {
+    const problem = this.#workers.onReport(report, nowMs)
     if (problem !== undefined) return refuse(problem)
-    const lease = this.#workers.answer(requestId, report, nowMs)
+    const lease = this.#workers.answerReport(requestId, report, nowMs)
     return lease === undefined ? { kind: 'later' } : answer(lease)
   }
 
-  #leave (workerId: string): Step {
+  #leaveWorker (workerId: string): OperationDecision {
     const worker = this.#context.state.worker(workerId)
-    if (worker === undefined) return refuse(failure('not_found', `worker ${workerId} is not known`))
+    if (worker === undefined) return refuse(failure('not_found', `worker ${workerId} is unknown`))
     return worker.state === 'draining'
       ? answer({ kind: 'done' })
       : propose({ kind: 'worker_state', ...worker, state: 'draining' })
   }
 
-  #applyChange ({ change, isDryRun }: OperationOf<'apply_change'>): Step {
+  #applyChange ({ change, isDryRun }: OperationOf<'apply_change'>): OperationDecision {
     const checked = this.#context.state.checkChange(change)
     if (checked.kind === 'refused') return refuse(checked.failure)
     if (isDryRun || checked.kind === 'repeated') {
@@ -196,7 +200,7 @@
     return { kind: 'configuration', version, document }
   }
 
-  /** The node adapter adds what entry VMs acknowledged. */
+  /** The node adapter adds the versions that entry VMs acknowledged. */
   #configurationStatus (): ControlAnswer {
     const { version } = this.#context.state.configuration
     return { kind: 'configuration_status', status: { version, isInForceEverywhere: false, nodes: [] } }
@@ -220,7 +224,7 @@
     return quarantined.has(workerId) ? 'quarantined' : 'active'
   }
 
-  #claim (operation: OperationOf<'claim_request'>): Step {
+  #claim (operation: OperationOf<'claim_request'>): OperationDecision {
     const { organisationId, key, digest, claimantId } = operation
     const { state } = this.#context
     const claim = state.claimView(organisationId, key)
@@ -232,16 +236,16 @@
     }
     return existing.digest === digest
       ? answer({ kind: 'claim', granted: false, claim })
-      : refuse(failure('key_reused', `idempotency key ${key} was used for a request with other content`))
+      : refuse(failure('key_reused', `idempotency key ${key} was already used for a request with different content`))
   }
 
-  #getClaim ({ organisationId, key }: OperationOf<'get_claim'>): Step {
+  #getClaim ({ organisationId, key }: OperationOf<'get_claim'>): OperationDecision {
     const claim = this.#context.state.claimView(organisationId, key)
     if (claim !== undefined) return answer({ kind: 'claim', granted: false, claim })
     return refuse(this.#context.state.checkKey(key) ?? failure('not_found', `claim ${key} does not exist`))
   }
 
-  #answerOf (operation: WriteOperation, result: CommandResult): ControlAnswer {
+  #answerApplied (operation: WriteOperation, result: CommandResult): ControlAnswer {
     switch (operation.kind) {
       case 'submit_job': return this.#jobAnswer(operation.spec.jobId)
       case 'cancel_job': return this.#jobAnswer(operation.jobId)
@@ -259,24 +263,24 @@
     return job === undefined ? { kind: 'done' } : { kind: 'job', job: toJobView(job) }
   }
 
-  #forgetUnsubmitted ({ jobId }: JobSpec, nowMs: number): void {
-    if (this.#context.state.job(jobId) === undefined) this.#scheduling.left(jobId, false, nowMs)
+  #withdrawUnsubmitted ({ jobId }: JobSpec, nowMs: number): void {
+    if (this.#context.state.job(jobId) === undefined) this.#schedulerDriver.remove(jobId, false, nowMs)
   }
 }
 
-function answer (value: ControlAnswer): Step {
+function answer (value: ControlAnswer): OperationDecision {
   return { kind: 'answer', answer: value }
 }
 
-function refuse (cause: Failure): Step {
+function refuse (cause: Failure): OperationDecision {
   return { kind: 'refuse', failure: cause }
 }
 
-function propose (command: ControlCommand): Step {
+function propose (command: ControlCommand): OperationDecision {
   return { kind: 'propose', command }
 }
 
-function explainEnded ({ spec, outcome, detail }: JobRecord): JobExplanation {
+function explainEndedJob ({ spec, outcome, detail }: JobRecord): JobExplanation {
   return {
     jobId: spec.jobId,
     state: outcome === 'refused' ? 'refused' : 'unknown',
--- a/packages/control/src/state.ts
+++ b/packages/control/src/state.ts
@@ -1,4 +1,4 @@
-/** The replicated state of the control nodes. */
+/** Replicated state of the control nodes. */
 import {
   toDocument, type Configuration, type ConfigurationChange, type ConfigurationDocument, type JobPhase, type Placement
 } from '@comfreygrade/core'
@@ -6,44 +6,45 @@
 import { ConfigurationHistory, type ChangeCheck, type ConfigurationSnapshot } from './configuration-history.js'
 import { DrainSet } from './drains.js'
 import { JobTable, type JobRecord, type LogPosition } from './jobs.js'
-import { done, refuse } from './refusals.js'
+import { done, refuse } from './command-results.js'
 import { WorkerTable, type WorkerRecord } from './workers.js'
 import type { CommandResult, ControlCommand } from './commands.js'
-import type { HeldCell } from './held-cells.js'
+import type { CellAllocation } from './cell-allocations.js'
 import type { ClaimView, Drain, DrainKind } from './operations.js'
 import type { GuaranteeValidator } from './ports.js'
 import type { ControlStateSettings } from './settings.js'
 
-/** The whole state as plain data; adapters encode it. Records are shared with the state and never change. */
+/** Snapshot of the whole state as plain data, which adapters encode. Its records are shared with the live state. */
 export interface ControlSnapshot {
   readonly formatVersion: 1
   readonly lastIndex: number
   readonly logTimeMs: number
   readonly configuration: ConfigurationSnapshot
-  /** In the order of their submission. */
+  /** In submission order. */
   readonly jobs: readonly JobRecord[]
-  /** In the order of their commits. */
+  /** In commit order. */
   readonly claims: readonly ClaimRecord[]
   readonly workers: readonly WorkerRecord[]
   readonly drains: readonly Drain[]
 }
 
-/** What a state needs besides its commands; the same on every replica. */
+/** Dependencies of the state, which must be the same on every replica. */
 export interface ControlStateOptions {
   readonly settings: ControlStateSettings
   readonly validator: GuaranteeValidator
 }
 
 /**
- * Deterministic state machine behind the log: the same commands at the same positions give the same state and results.
- * A command whose precondition does not hold is refused and changes nothing but log time.
+ * Deterministic state machine driven by the replicated log: the same commands at the same log positions produce the
+ * same state and results. A command whose precondition does not hold is refused; it advances log time and the expiry
+ * of records, and changes nothing else.
  *
  * @example
  * const state = new ControlState({ settings: defaultControlStateSettings, validator })
  * state.apply({ kind: 'submit_job', spec }, 1, 1_000) // { kind: 'done' }
  */
 export class ControlState {
-  readonly #history: ConfigurationHistory
+  readonly #configurationHistory: ConfigurationHistory
   readonly #jobs: JobTable
   readonly #claims: ClaimTable
   readonly #workers = new WorkerTable()
@@ -52,14 +53,14 @@
   #logTimeMs = 0
 
   constructor ({ settings, validator }: ControlStateOptions) {
-    this.#history = new ConfigurationHistory(settings, validator)
+    this.#configurationHistory = new ConfigurationHistory(settings, validator)
     this.#jobs = new JobTable(settings)
     this.#claims = new ClaimTable(settings)
     this.#drains = new DrainSet(settings.maxDrains)
   }
 
   /**
-   * Builds the state that a snapshot was taken of.
+   * Restores a state from its snapshot.
    *
    * @example
    * const copy = ControlState.restore(state.snapshot(), options)
@@ -68,7 +69,7 @@
     const state = new ControlState(options)
     state.#lastIndex = snapshot.lastIndex
     state.#logTimeMs = snapshot.logTimeMs
-    state.#history.restore(snapshot.configuration)
+    state.#configurationHistory.restore(snapshot.configuration)
     state.#jobs.restore(snapshot.jobs)
     state.#claims.restore(snapshot.claims)
     state.#workers.restore(snapshot.workers)
@@ -76,24 +77,23 @@
     return state
   }
 
-  /** Applies the command of one log entry. Entries are given once each, in the order of the log. */
+  /** Applies the command of one log entry. Each entry must be applied once, in log order. */
   apply (command: ControlCommand, index: number, logTimeMs: number): CommandResult {
-    if (index <= this.#lastIndex) throw new RangeError(`entry ${index} is applied after entry ${this.#lastIndex}`)
+    if (index <= this.#lastIndex) throw new RangeError(`log entry ${index} cannot be applied after entry ${this.#lastIndex}`)
     this.#lastIndex = index
     this.#logTimeMs = Math.max(this.#logTimeMs, logTimeMs)
-    this.#claims.forget(this.#logTimeMs)
+    this.#claims.removeExpired(this.#logTimeMs)
     const result = this.#apply(command, { index, logTimeMs: this.#logTimeMs })
-    this.#jobs.forget(this.#logTimeMs)
+    this.#jobs.removeExpired(this.#logTimeMs)
     return result
   }
 
-  /** Gives the state as plain data. */
   snapshot (): ControlSnapshot {
     return {
       formatVersion: 1,
       lastIndex: this.#lastIndex,
       logTimeMs: this.#logTimeMs,
-      configuration: this.#history.snapshot(),
+      configuration: this.#configurationHistory.snapshot(),
       jobs: [...this.#jobs.records()],
       claims: this.#claims.records(),
       workers: [...this.#workers.records()],
@@ -109,31 +109,31 @@
     return this.#logTimeMs
   }
 
-  /** Inventory and rules in force. */
+  /** The inventory and rules in force. */
   get configuration (): Configuration {
-    return this.#history.current
+    return this.#configurationHistory.current
   }
 
-  /** Inventory and rules as the document that operators edit. */
+  /** Returns the inventory and rules as the document that operators edit. */
   configurationDocument (): { version: number, document: ConfigurationDocument } {
     return { version: this.configuration.version, document: toDocument(this.configuration) }
   }
 
-  /** Changes after `version`; undefined when a full copy is needed. */
+  /** Returns the configuration changes after `version`, or undefined if a full copy is needed. */
   changesSince (version: number): ConfigurationChange[] | undefined {
-    return this.#history.changesSince(version)
+    return this.#configurationHistory.changesSince(version)
   }
 
-  /** Finds out what a change would do, without applying it. */
+  /** Validates a configuration change without applying it. */
   checkChange (change: ConfigurationChange): ChangeCheck {
-    return this.#history.check(change)
+    return this.#configurationHistory.check(change)
   }
 
   job (jobId: string): JobRecord | undefined {
     return this.#jobs.get(jobId)
   }
 
-  /** All jobs in the order of their submission, ended ones included while they are kept. */
+  /** Returns all jobs in submission order, including ended ones within their retention period. */
   jobs (): IterableIterator<JobRecord> {
     return this.#jobs.records()
   }
@@ -146,14 +146,14 @@
     return this.#claims.get(organisationId, key)
   }
 
-  /** What callers may see of a claim now. */
+  /** Returns the view of a claim that callers get at the current log time. */
   claimView (organisationId: string, key: string): ClaimView | undefined {
     const record = this.#claims.get(organisationId, key)
     const { maxDeadlineMs } = this.configuration.rules
     return record === undefined ? undefined : toClaimView(record, this.#logTimeMs, maxDeadlineMs)
   }
 
-  /** Says why a key could not be claimed now; undefined when it could. */
+  /** Returns why a key cannot be claimed at the current log time, or undefined if it can. */
   checkKey (key: string): ReturnType<ClaimTable['checkKey']> {
     return this.#claims.checkKey(key, this.#logTimeMs)
   }
@@ -170,9 +170,9 @@
     return this.#workers.records()
   }
 
-  /** Cells held on a worker by placed jobs. */
-  cellsOn (workerId: string): readonly HeldCell[] {
-    return this.#jobs.cells.on(workerId)
+  /** Returns the cells of a worker that are allocated to placed jobs. */
+  cellsOn (workerId: string): readonly CellAllocation[] {
+    return this.#jobs.allocations.forWorker(workerId)
   }
 
   drains (): Drain[] {
@@ -189,11 +189,11 @@
       case 'submit_job': return this.#submit(command, at)
       case 'place_job': return this.#place(command, at)
       case 'start_job': return this.#jobs.start(command, at)
-      case 'job_running': return this.#jobs.running(command, at)
+      case 'job_running': return this.#jobs.markRunning(command, at)
       case 'stop_job': return this.#jobs.stop(command, at)
-      case 'requeue_job': return this.#released(command.jobId, () => this.#jobs.requeue(command, at))
-      case 'end_job': return this.#released(command.jobId, () => this.#jobs.end(command, at))
-      case 'worker_state': return this.#changeWorker(command)
+      case 'requeue_job': return this.#applyRelease(command.jobId, () => this.#jobs.requeue(command, at))
+      case 'end_job': return this.#applyRelease(command.jobId, () => this.#jobs.end(command, at))
+      case 'worker_state': return this.#setWorkerState(command)
       case 'set_drain': return this.#setDrain(command)
       case 'claim_request': return this.#claim(command, at)
       case 'settle_claim': return this.#claims.settle(command, at.index)
@@ -202,11 +202,11 @@
   }
 
   #applyConfiguration (change: ConfigurationChange): CommandResult {
-    const result = this.#history.apply(change)
+    const result = this.#configurationHistory.apply(change)
     if (!result.ok) return { kind: 'refused', failure: result.failure }
     if (result.value === 'repeated') return done
     for (const { kind, id } of change.removes) {
-      if (kind === 'worker') this.#forgetRemovedWorker(id)
+      if (kind === 'worker') this.#deleteRemovedWorker(id)
     }
     return done
   }
@@ -214,7 +214,7 @@
   #submit ({ spec }: Extract<ControlCommand, { kind: 'submit_job' }>, at: LogPosition): CommandResult {
     const { organisations, rules } = this.configuration
     const isKnown = this.#jobs.get(spec.jobId) !== undefined
-    if (!isKnown && !organisations.has(spec.organisationId)) return refuseOrganisation(spec.organisationId)
+    if (!isKnown && !organisations.has(spec.organisationId)) return refuseUnknownOrganisation(spec.organisationId)
     if (!isKnown && (spec.tasks < 1 || spec.tasks > rules.maxGangTasks)) {
       return refuse('impossible_shape', `the gang has ${spec.tasks} tasks, 1 to ${rules.maxGangTasks} are allowed`)
     }
@@ -222,11 +222,11 @@
   }
 
   #place (command: Extract<ControlCommand, { kind: 'place_job' }>, at: LogPosition): CommandResult {
-    const problem = this.#findWorkerProblem(command.placement)
+    const problem = this.#findWorkerError(command.placement)
     return problem === undefined ? this.#jobs.place(command, at) : refuse('invalid_request', problem)
   }
 
-  #findWorkerProblem ({ tasks }: Placement): string | undefined {
+  #findWorkerError ({ tasks }: Placement): string | undefined {
     for (const { workerId, firstAccelerator, acceleratorCount } of tasks) {
       const worker = this.configuration.workers.get(workerId)
       if (worker === undefined) return `worker ${workerId} is not in the inventory`
@@ -240,7 +240,7 @@
     return undefined
   }
 
-  #changeWorker (command: Extract<ControlCommand, { kind: 'worker_state' }>): CommandResult {
+  #setWorkerState (command: Extract<ControlCommand, { kind: 'worker_state' }>): CommandResult {
     const { workerId } = command
     const isListed = this.configuration.workers.has(workerId) || this.#workers.get(workerId) !== undefined
     return isListed ? this.#workers.apply(command) : refuse('not_found', `worker ${workerId} is not in the inventory`)
@@ -257,27 +257,27 @@
     const isKnown = this.#claims.get(command.organisationId, command.key) !== undefined
     return isKnown || this.configuration.organisations.has(command.organisationId)
       ? this.#claims.claim(command, at.logTimeMs, this.configuration.rules.maxDeadlineMs)
-      : refuseOrganisation(command.organisationId)
+      : refuseUnknownOrganisation(command.organisationId)
   }
 
-  /** Runs a command that may release a job's cells, and forgets removed workers that held only these. */
-  #released (jobId: string, apply: () => CommandResult): CommandResult {
+  /** Applies a command that may release the cells of a job, and deletes removed workers that have no cells left. */
+  #applyRelease (jobId: string, apply: () => CommandResult): CommandResult {
     const tasks = this.#jobs.get(jobId)?.placement?.tasks ?? []
     const result = apply()
     for (const { workerId } of tasks) {
-      if (!this.configuration.workers.has(workerId)) this.#forgetRemovedWorker(workerId)
+      if (!this.configuration.workers.has(workerId)) this.#deleteRemovedWorker(workerId)
     }
     return result
   }
 
-  #forgetRemovedWorker (workerId: string): void {
-    if (this.#jobs.cells.on(workerId).length > 0) return
+  #deleteRemovedWorker (workerId: string): void {
+    if (this.#jobs.allocations.forWorker(workerId).length > 0) return
     if (this.configuration.workers.has(workerId)) return
     this.#workers.remove(workerId)
     this.#drains.set({ kind: 'worker', id: workerId }, false)
   }
 }
 
-function refuseOrganisation (organisationId: string): CommandResult {
+function refuseUnknownOrganisation (organisationId: string): CommandResult {
   return refuse('unknown_organisation', `organisation ${organisationId} is not in the inventory`)
 }
--- a/packages/control/src/worker-availability.ts
+++ b/packages/control/src/worker-availability.ts
@@ -1,36 +1,37 @@
-/** Which workers the scheduler may place on. */
+/** Availability of workers for new placements. */
 import { DeadlineQueue } from './deadline-queue.js'
 import type { LeaderContext } from './leader-context.js'
-import type { Scheduling } from './scheduling.js'
+import type { SchedulerDriver } from './scheduler-driver.js'
 
-type Availability = 'available' | 'draining' | 'lost'
+type SchedulerAvailability = 'available' | 'draining' | 'lost'
 
-/** Tells the scheduler of each change of a worker once. */
+/** Derives the availability of each worker and notifies the scheduler of changes. */
 export class WorkerAvailability {
   readonly #context: LeaderContext
-  readonly #scheduling: Scheduling
-  readonly #told = new Map<string, Availability>()
+  readonly #schedulerDriver: SchedulerDriver
+  readonly #reported = new Map<string, SchedulerAvailability>()
   readonly #exclusions = new DeadlineQueue()
   readonly #exclusionCounts = new Map<string, number>()
 
-  constructor (context: LeaderContext, scheduling: Scheduling) {
+  constructor (context: LeaderContext, schedulerDriver: SchedulerDriver) {
     this.#context = context
-    this.#scheduling = scheduling
+    this.#schedulerDriver = schedulerDriver
   }
 
-  /** Compares a worker with what the scheduler was told, and tells it the difference. */
+  /** Notifies the scheduler if the availability of a worker differs from the one last reported. */
   refresh (workerId: string, nowMs: number): void {
-    const availability = this.#judge(workerId)
-    if ((this.#told.get(workerId) ?? 'lost') === availability) return
-    if (availability === 'lost') this.#told.delete(workerId)
-    else this.#told.set(workerId, availability)
-    this.#tell(workerId, availability, nowMs)
-    this.#scheduling.markChanged()
+    const availability = this.#availabilityOf(workerId)
+    if ((this.#reported.get(workerId) ?? 'lost') === availability) return
+    if (availability === 'lost') this.#reported.delete(workerId)
+    else this.#reported.set(workerId, availability)
+    this.#notifyScheduler(workerId, availability, nowMs)
+    this.#schedulerDriver.requestPass()
   }
 
   /**
-   * Keeps new placements off a worker that refused one or did not answer, for a time that doubles. Such a worker does
-   * not count as a failure of the job: when a rack fails, a gang meets several of them, and no task ran.
+   * Excludes a worker that refused a placement or did not answer from new ones, for a period that doubles each time.
+   * This does not count as a failure of the job: no task ran, and after a rack failure one gang may encounter several
+   * such workers.
    */
   exclude (workerId: string, nowMs: number): void {
     if (this.#exclusions.get(workerId) !== undefined) return
@@ -42,8 +43,8 @@
     this.refresh(workerId, nowMs)
   }
 
-  /** Takes in that a worker started a task, which ends the doubling. */
-  worked (workerId: string): void {
+  /** Resets the exclusion period of a worker to its first value, after it started a task. */
+  resetExclusionBackoff (workerId: string): void {
     this.#exclusionCounts.delete(workerId)
   }
 
@@ -51,20 +52,20 @@
     for (const workerId of this.#exclusions.takeDue(nowMs)) this.refresh(workerId, nowMs)
   }
 
-  nextAtMs (): number | undefined {
-    return this.#exclusions.nextAtMs()
+  nextWakeAtMs (): number | undefined {
+    return this.#exclusions.nextWakeAtMs()
   }
 
-  #judge (workerId: string): Availability {
+  #availabilityOf (workerId: string): SchedulerAvailability {
     const { state, leases } = this.#context
     const record = state.worker(workerId)
     if (record === undefined || record.state === 'lost' || leases.get(workerId)?.hasLease !== true) return 'lost'
     if (!state.configuration.workers.has(workerId)) return 'lost'
-    const isClosed = record.state !== 'active' || state.isDrained('worker', workerId)
-    return isClosed || this.#exclusions.get(workerId) !== undefined ? 'draining' : 'available'
+    const isDraining = record.state !== 'active' || state.isDrained('worker', workerId)
+    return isDraining || this.#exclusions.get(workerId) !== undefined ? 'draining' : 'available'
   }
 
-  #tell (workerId: string, availability: Availability, nowMs: number): void {
+  #notifyScheduler (workerId: string, availability: SchedulerAvailability, nowMs: number): void {
     const { scheduler } = this.#context
     switch (availability) {
       case 'available': scheduler.workerJoined(workerId, nowMs); break
@@ -73,7 +74,7 @@
     }
   }
 
-  /** A worker has to be joined before it can be drained; its tasks keep their cells meanwhile. */
+  /** A worker has to be joined before it can be drained. Its running tasks keep their cells. */
   #drain (workerId: string, nowMs: number): void {
     this.#context.scheduler.workerJoined(workerId, nowMs)
     this.#context.scheduler.drainWorker(workerId)
--- a/packages/control/src/worker-leases.ts
+++ b/packages/control/src/worker-leases.ts
@@ -1,79 +1,83 @@
-/** What this leader knows of each worker: its process, its last report and when its lease certainly ended. */
+/** Worker sessions of a leader: process, last report and certain expiry of the lease of each worker. */
 import type { WorkerReport } from '@comfreygrade/core'
 import { DeadlineQueue } from './deadline-queue.js'
 import type { ControlSettings } from './settings.js'
 import type { WorkerRecord } from './workers.js'
 
-/** A worker in the memory of the leader. */
-export interface WorkerContact {
+/** Volatile state of a worker on the leader. */
+export interface WorkerSession {
   readonly workerId: string
   readonly incarnation: number
+  /** Sequence number of the last report; -1 before the first one. */
   readonly sequence: number
   readonly address: string
-  /** False once its lease certainly ended; true again from its next report. */
+  /** False once the lease has certainly expired, until the next report. */
   readonly hasLease: boolean
 }
 
-/** How a report relates to what was known: an old one is from before the last report or an earlier process. */
-export type ReportAge = 'first' | 'next' | 'old_sequence' | 'new_incarnation' | 'old_incarnation'
+/** Position of a report relative to the session; an old one precedes the last report or is from an earlier process. */
+export type ReportFreshness = 'first' | 'next' | 'old_sequence' | 'new_incarnation' | 'old_incarnation'
 
-/** Leases of workers under one leader. */
+/** Leases granted by one leader or taken over from its predecessors. */
 export class WorkerLeases {
-  readonly #waitMs: number
-  readonly #contacts = new Map<string, WorkerContact>()
-  readonly #ends = new DeadlineQueue()
+  readonly #expiryDelayMs: number
+  readonly #sessions = new Map<string, WorkerSession>()
+  readonly #expiries = new DeadlineQueue()
 
   constructor (settings: ControlSettings) {
-    this.#waitMs = settings.leaseMs * (1 + settings.clockRateBound)
+    this.#expiryDelayMs = settings.leaseMs * (1 + settings.clockRateBound)
   }
 
-  /** Takes over a worker of the replicated state; another leader may have renewed its lease until `nowMs`. */
+  /** Takes over a worker from the replicated state. A former leader may have renewed its lease until `nowMs`. */
   adopt ({ workerId, incarnation, address, state }: WorkerRecord, nowMs: number): void {
     const hasLease = state !== 'lost'
-    this.#contacts.set(workerId, { workerId, incarnation, sequence: -1, address, hasLease })
-    if (hasLease) this.#ends.set(workerId, nowMs + this.#waitMs)
+    this.#sessions.set(workerId, { workerId, incarnation, sequence: -1, address, hasLease })
+    if (hasLease) this.#expiries.set(workerId, nowMs + this.#expiryDelayMs)
   }
 
-  get (workerId: string): WorkerContact | undefined {
-    return this.#contacts.get(workerId)
+  get (workerId: string): WorkerSession | undefined {
+    return this.#sessions.get(workerId)
   }
 
-  /** Takes in a report. The lease counts as renewed even if the answer is never sent, which only delays its end. */
-  report ({ workerId, incarnation, sequence, address }: WorkerReport, nowMs: number): ReportAge {
-    const age = reportAge(this.#contacts.get(workerId), incarnation, sequence)
-    if (age === 'old_incarnation') return age
-    this.#ends.set(workerId, nowMs + this.#waitMs)
-    if (age === 'old_sequence') return age
-    this.#contacts.set(workerId, { workerId, incarnation, sequence, address, hasLease: true })
-    return age
+  /**
+   * Renews the lease of a worker on receipt of its report. If the answer is never sent, the worker does not renew its
+   * own lease, so the expiry assumed here is merely late.
+   */
+  renew ({ workerId, incarnation, sequence, address }: WorkerReport, nowMs: number): ReportFreshness {
+    const freshness = reportFreshness(this.#sessions.get(workerId), incarnation, sequence)
+    if (freshness === 'old_incarnation') return freshness
+    this.#expiries.set(workerId, nowMs + this.#expiryDelayMs)
+    if (freshness === 'old_sequence') return freshness
+    this.#sessions.set(workerId, { workerId, incarnation, sequence, address, hasLease: true })
+    return freshness
   }
 
-  forget (workerId: string): void {
-    this.#contacts.delete(workerId)
-    this.#ends.delete(workerId)
+  remove (workerId: string): void {
+    this.#sessions.delete(workerId)
+    this.#expiries.delete(workerId)
   }
 
-  /** Ends and gives the leases that no worker can hold any more. */
-  takeEnded (nowMs: number): WorkerContact[] {
-    const ended: WorkerContact[] = []
-    for (const workerId of this.#ends.takeDue(nowMs)) {
-      const contact = this.#contacts.get(workerId)
-      if (contact === undefined) continue
-      const lost = { ...contact, hasLease: false }
-      this.#contacts.set(workerId, lost)
-      ended.push(lost)
+  /** Ends the leases that have certainly expired on their workers, and returns their sessions. */
+  takeExpired (nowMs: number): WorkerSession[] {
+    const expired: WorkerSession[] = []
+    for (const workerId of this.#expiries.takeDue(nowMs)) {
+      const session = this.#sessions.get(workerId)
+      if (session === undefined) continue
+      const expiredSession = { ...session, hasLease: false }
+      this.#sessions.set(workerId, expiredSession)
+      expired.push(expiredSession)
     }
-    return ended
+    return expired
   }
 
-  nextAtMs (): number | undefined {
-    return this.#ends.nextAtMs()
+  nextWakeAtMs (): number | undefined {
+    return this.#expiries.nextWakeAtMs()
   }
 }
 
-function reportAge (known: WorkerContact | undefined, incarnation: number, sequence: number): ReportAge {
-  if (known === undefined) return 'first'
-  if (incarnation > known.incarnation) return 'new_incarnation'
-  if (incarnation < known.incarnation) return 'old_incarnation'
-  return sequence > known.sequence ? 'next' : 'old_sequence'
+function reportFreshness (session: WorkerSession | undefined, incarnation: number, sequence: number): ReportFreshness {
+  if (session === undefined) return 'first'
+  if (incarnation > session.incarnation) return 'new_incarnation'
+  if (incarnation < session.incarnation) return 'old_incarnation'
+  return sequence > session.sequence ? 'next' : 'old_sequence'
 }
--- a/packages/control/test/fake-worker.ts
+++ b/packages/control/test/fake-worker.ts
@@ -1,8 +1,8 @@
-/** A worker at the port, which keeps its own record of what it ran and when. */
+/** Simulated worker, which records independently of the leader what it ran and when. */
 import type { TaskReport, TaskState, WorkerReport } from '@comfreygrade/core'
 import type { ControlAnswer, OrderResult, WorkerOrder } from '../src/index.js'
 
-/** One run of a task on a worker; `endMs` is infinite while it runs. */
+/** One execution of a task on a worker; `endMs` is infinite while it runs. */
 export interface Execution {
   readonly jobId: string
   readonly leaseId: number
@@ -15,21 +15,21 @@
   isCompleted: boolean
 }
 
-/** A cell that a worker agreed to hold. */
-export interface Hold {
+/** An accepted `prepare` of a task. */
+export interface Preparation {
   readonly jobId: string
   readonly leaseId: number
   readonly taskIndex: number
   readonly atMs: number
 }
 
-/** What really happened, written by the workers alone. */
+/** Ground truth of a simulation, written only by the workers. */
 export class ExecutionRecord {
   readonly executions: Execution[] = []
-  readonly holds: Hold[] = []
+  readonly preparations: Preparation[] = []
 }
 
-export type Behaviour = 'works' | 'refuses' | 'fails' | 'ignores_stop'
+export type WorkerBehaviour = 'works' | 'refuses' | 'fails' | 'ignores_stop'
 type Lease = Extract<ControlAnswer, { kind: 'worker_lease' }>
 
 interface WorkerTask {
@@ -40,15 +40,15 @@
 
 export class FakeWorker {
   readonly workerId: string
-  behaviour: Behaviour = 'works'
-  isDead = false
+  behaviour: WorkerBehaviour = 'works'
+  isCrashed = false
   isFrozen = false
-  /** Nothing reaches it and nothing that it sends arrives, while its tasks go on. */
-  isCutOff = false
+  /** Messages from and to the worker are lost, while its tasks continue. */
+  isPartitioned = false
   runMs = 400
   readonly #record: ExecutionRecord
-  /** Rate of its clock against the leader's: a slow clock keeps a lease longer. */
-  readonly #rate: number
+  /** Rate of the worker clock relative to that of the leader; with a slow clock a lease lasts longer. */
+  readonly #clockRate: number
   readonly #tasks = new Map<string, WorkerTask>()
   readonly #refusedLeases = new Set<string>()
   #incarnation = 1
@@ -56,45 +56,45 @@
   #highestTerm = 0
   #leaseEndMs = Number.NEGATIVE_INFINITY
 
-  constructor (workerId: string, rate: number, record: ExecutionRecord) {
+  constructor (workerId: string, clockRate: number, record: ExecutionRecord) {
     this.workerId = workerId
-    this.#rate = rate
+    this.#clockRate = clockRate
     this.#record = record
   }
 
   get isReachable (): boolean {
-    return !this.isDead && !this.isFrozen
+    return !this.isCrashed && !this.isFrozen
   }
 
-  /** Lets time pass: tasks complete, and all are given up when the lease ends. */
+  /** Advances time: tasks complete, and all are released when the lease expires. */
   advance (nowMs: number): void {
     if (!this.isReachable) return
     for (const task of this.#tasks.values()) {
-      const doneMs = (task.execution?.startMs ?? 0) + this.runMs
-      if (task.state !== 'running' || doneMs > Math.min(nowMs, this.#leaseEndMs)) continue
-      this.#end(task, 'completed', doneMs)
+      const completionMs = (task.execution?.startMs ?? 0) + this.runMs
+      if (task.state !== 'running' || completionMs > Math.min(nowMs, this.#leaseEndMs)) continue
+      this.#endTask(task, 'completed', completionMs)
     }
     if (nowMs < this.#leaseEndMs) return
     for (const [key, task] of this.#tasks) {
       if (task.state !== 'running' && task.state !== 'prepared') continue
-      this.#end(task, 'stopped', this.#leaseEndMs)
+      this.#endTask(task, 'stopped', this.#leaseEndMs)
       this.#tasks.delete(key)
       this.#refusedLeases.add(key)
     }
   }
 
-  /** Stops everything without notice. */
-  die (nowMs: number): void {
+  /** Ends the process and all of its tasks without notice. */
+  crash (nowMs: number): void {
     this.advance(nowMs)
-    this.isDead = true
-    for (const task of this.#tasks.values()) this.#end(task, 'stopped', nowMs)
+    this.isCrashed = true
+    for (const task of this.#tasks.values()) this.#endTask(task, 'stopped', nowMs)
     this.#tasks.clear()
   }
 
-  /** Starts a new process that remembers nothing. */
+  /** Starts a new process without any state of the previous one. */
   restart (nowMs: number): void {
-    this.die(nowMs)
-    this.isDead = false
+    this.crash(nowMs)
+    this.isCrashed = false
     this.isFrozen = false
     this.#incarnation += 1
     this.#sequence = 0
@@ -103,7 +103,7 @@
     this.#refusedLeases.clear()
   }
 
-  /** Stops the clock of its tasks; the process keeps what it held. */
+  /** Pauses the process and its tasks; it keeps its state. */
   freeze (nowMs: number): void {
     this.advance(nowMs)
     this.isFrozen = true
@@ -112,12 +112,12 @@
     }
   }
 
-  /** Goes on where the lease still holds, and otherwise gives up before anything runs. */
+  /** Resumes the process. Tasks continue if the lease is still valid, and are released before they run otherwise. */
   resume (nowMs: number): void {
     if (!this.isFrozen) return
     this.isFrozen = false
     for (const task of this.#tasks.values()) {
-      if (task.state === 'running' && nowMs < this.#leaseEndMs) this.#run(task, nowMs)
+      if (task.state === 'running' && nowMs < this.#leaseEndMs) this.#startExecution(task, nowMs)
     }
     this.advance(nowMs)
   }
@@ -135,46 +135,46 @@
     this.advance(nowMs)
     if (!this.isReachable || report.incarnation !== this.#incarnation || lease.term < this.#highestTerm) return
     this.#highestTerm = lease.term
-    this.#leaseEndMs = Math.max(this.#leaseEndMs, sentMs + lease.leaseMs / this.#rate)
-    for (const task of lease.stopTasks) this.#stop(`${task.leaseId}/${task.taskIndex}`, nowMs)
+    this.#leaseEndMs = Math.max(this.#leaseEndMs, sentMs + lease.leaseMs / this.#clockRate)
+    for (const task of lease.stopTasks) this.#stopTask(`${task.leaseId}/${task.taskIndex}`, nowMs)
   }
 
   receive (term: number, orders: readonly WorkerOrder[], nowMs: number): OrderResult[] {
     this.advance(nowMs)
     if (term < this.#highestTerm) return orders.map(() => 'stale_term')
     this.#highestTerm = term
-    return orders.map(order => this.#obey(order, nowMs))
+    return orders.map(order => this.#execute(order, nowMs))
   }
 
-  #obey (order: WorkerOrder, nowMs: number): OrderResult {
+  #execute (order: WorkerOrder, nowMs: number): OrderResult {
     const key = `${order.leaseId}/${order.taskIndex}`
     if (order.incarnation !== this.#incarnation) return 'refused'
-    if (order.kind === 'stop') return this.#stop(key, nowMs)
+    if (order.kind === 'stop') return this.#stopTask(key, nowMs)
     if (nowMs >= this.#leaseEndMs) return 'refused'
     const task = this.#tasks.get(key)
     if (order.kind === 'prepare') return task === undefined ? this.#prepare(key, order, nowMs) : 'accepted'
     if (task === undefined) return 'unknown_lease'
-    if (order.kind === 'start' && task.state === 'prepared') this.#start(task, nowMs)
-    if (order.kind === 'checkpoint') this.#end(task, 'stopped', nowMs)
+    if (order.kind === 'start' && task.state === 'prepared') this.#startTask(task, nowMs)
+    if (order.kind === 'checkpoint') this.#endTask(task, 'stopped', nowMs)
     return 'accepted'
   }
 
-  /** Overlapping cells are not refused here, so that a cell given out twice shows in the record. */
+  /** Accepts overlapping cells, so that a double allocation shows in the execution record. */
   #prepare (key: string, order: WorkerOrder, nowMs: number): OrderResult {
     if (this.behaviour === 'refuses' || this.#refusedLeases.has(key)) return 'refused'
     const { jobId, leaseId, taskIndex } = order
     this.#tasks.set(key, { order, state: 'prepared', execution: undefined })
-    this.#record.holds.push({ jobId, leaseId, taskIndex, atMs: nowMs })
+    this.#record.preparations.push({ jobId, leaseId, taskIndex, atMs: nowMs })
     return 'accepted'
   }
 
-  #start (task: WorkerTask, nowMs: number): void {
+  #startTask (task: WorkerTask, nowMs: number): void {
     task.state = 'running'
-    this.#run(task, nowMs)
-    if (this.behaviour === 'fails') this.#end(task, 'failed', nowMs)
+    this.#startExecution(task, nowMs)
+    if (this.behaviour === 'fails') this.#endTask(task, 'failed', nowMs)
   }
 
-  #run (task: WorkerTask, nowMs: number): void {
+  #startExecution (task: WorkerTask, nowMs: number): void {
     const { jobId, leaseId, taskIndex, firstAccelerator, acceleratorCount } = task.order
     const { workerId } = this
     const endMs = Number.POSITIVE_INFINITY
@@ -184,17 +184,17 @@
     this.#record.executions.push(task.execution)
   }
 
-  #stop (key: string, nowMs: number): OrderResult {
+  #stopTask (key: string, nowMs: number): OrderResult {
     const task = this.#tasks.get(key)
     this.#refusedLeases.add(key)
     if (task === undefined) return 'unknown_lease'
     if (this.behaviour === 'ignores_stop') return 'accepted'
-    this.#end(task, 'stopped', nowMs)
+    this.#endTask(task, 'stopped', nowMs)
     this.#tasks.delete(key)
     return 'accepted'
   }
 
-  #end (task: WorkerTask, state: TaskState, nowMs: number): void {
+  #endTask (task: WorkerTask, state: TaskState, nowMs: number): void {
     if (task.state !== 'running' && task.state !== 'prepared') return
     task.state = state
     if (task.execution === undefined) return
--- a/packages/control/test/simulation.ts
+++ b/packages/control/test/simulation.ts
@@ -1,4 +1,4 @@
-/** One control group and its workers under a manual clock; a test decides what is delivered, lost, doubled or late. */
+/** Simulation of a control leader and its workers with a manual clock. Tests control the delivery of each message. */
 import {
   defaultRules, diffDocument, emptyConfiguration, NullEventLog, NullMetrics,
   type ConfigurationDocument, type JobSpec, type WorkerReport
@@ -11,7 +11,7 @@
 import { FakeScheduler, FakeValidator } from './fake-scheduler.js'
 import { ExecutionRecord, FakeWorker } from './fake-worker.js'
 
-/** Short times, so that a run covers many leases. */
+/** Short durations, so that a run covers many leases. */
 export const testSettings: ControlSettings = {
   ...defaultControlSettings,
   leaseMs: 1_000,
@@ -28,14 +28,14 @@
 }
 
 export const stateOptions = { settings: defaultControlStateSettings, validator: new FakeValidator() }
-/** Voters elect no leader for longer than a committed proposal proves leadership. */
-const ELECTION_MS = testSettings.leadershipValidMs + 1
+/** Election time-out, which must be longer than `leadershipValidMs`. */
+const ELECTION_TIMEOUT_MS = testSettings.leadershipValidMs + 1
 const REPORT_INTERVAL_MS = 100
-const ACCELERATORS = 4
+const ACCELERATORS_PER_WORKER = 4
 
 type SendOrders = Extract<ControlEffect, { kind: 'send_orders' }>
 
-/** Something on its way between the leader and a worker. */
+/** Message in transit between the leader and a worker. */
 export type Message =
   | { readonly kind: 'orders', readonly effect: SendOrders }
   | {
@@ -51,8 +51,8 @@
   readonly settings?: Partial<ControlSettings>
   readonly workers?: number
   readonly scheduler?: FakeScheduler
-  /** Changes messages on the way, to show that a checker notices. */
-  readonly tamper?: (message: Message) => Message
+  /** Modifies messages in transit, to show that a check detects the resulting violation. */
+  readonly intercept?: (message: Message) => Message
 }
 
 export function job (jobId: string, changes: Partial<JobSpec> = {}): JobSpec {
@@ -83,7 +83,7 @@
       cores: 64,
       memoryGb: 256,
       acceleratorModel: 'gpu',
-      accelerators: ACCELERATORS
+      accelerators: ACCELERATORS_PER_WORKER
     })),
     organisations: [{ organisationId: 'o1', quotaAccelerators: 100, weight: 1 }],
     guarantees: [],
@@ -93,7 +93,7 @@
 
 export class Simulation {
   readonly state = new ControlState(stateOptions)
-  readonly record = new ExecutionRecord()
+  readonly executionRecord = new ExecutionRecord()
   readonly workers: FakeWorker[]
   readonly replies = new Map<string, ControlResult>()
   readonly committed: ControlCommand[] = []
@@ -101,27 +101,27 @@
   proposals: Array<{ readonly proposalId: string, readonly command: ControlCommand }> = []
   scheduler: FakeScheduler
   leader: ControlLeader
-  /** The leader before, which does not know yet that it was replaced. */
+  /** Previous leader, which does not know yet that it was replaced. */
   formerLeader: ControlLeader | undefined
   nowMs = 0
   readonly #settings: ControlSettings
-  readonly #tamper: (message: Message) => Message
-  readonly #reports = new Map<string, { readonly report: WorkerReport, readonly sentMs: number }>()
+  readonly #intercept: (message: Message) => Message
+  readonly #pendingReports = new Map<string, { readonly report: WorkerReport, readonly sentMs: number }>()
   #term = 1
   #index = 0
-  #requests = 0
+  #requestCount = 0
 
   constructor (options: SimulationOptions = {}) {
-    const { settings = {}, workers = 3, scheduler = new FakeScheduler(), tamper = message => message } = options
+    const { settings = {}, workers = 3, scheduler = new FakeScheduler(), intercept = message => message } = options
     this.scheduler = scheduler
     this.#settings = { ...testSettings, ...settings }
-    this.#tamper = tamper
+    this.#intercept = intercept
     const rates = [1, 0.991, 1.009]
     this.workers = inventory(workers).workers.map(({ workerId }, position) =>
-      new FakeWorker(workerId, rates[position % rates.length] ?? 1, this.record))
+      new FakeWorker(workerId, rates[position % rates.length] ?? 1, this.executionRecord))
     this.#apply({ kind: 'apply_configuration', change: diffDocument(emptyConfiguration(), inventory(workers)) })
     this.leader = this.#newLeader()
-    this.feed({ kind: 'tick' })
+    this.dispatch({ kind: 'tick' })
   }
 
   worker (workerId: string): FakeWorker {
@@ -130,17 +130,17 @@
     return worker
   }
 
-  /** Gives the leader an event and takes in its effects. */
-  feed (event: ControlEvent, leader = this.leader): void {
+  /** Passes an event to a leader and applies its effects. */
+  dispatch (event: ControlEvent, leader = this.leader): void {
     const effects = leader.handle(event, this.nowMs)
-    // What a former leader proposes is never committed; its orders and answers still arrive.
-    this.#perform(effects, leader === this.leader)
+    // Proposals of a former leader are never committed, but its orders and answers are delivered.
+    this.#applyEffects(effects, leader === this.leader)
   }
 
-  ask (operation: ControlOperation): string {
-    this.#requests += 1
-    const requestId = `q${this.#requests}`
-    this.feed({ kind: 'operation', requestId, operation })
+  request (operation: ControlOperation): string {
+    this.#requestCount += 1
+    const requestId = `q${this.#requestCount}`
+    this.dispatch({ kind: 'operation', requestId, operation })
     return requestId
   }
 
@@ -149,24 +149,24 @@
     if (proposal === undefined) return
     const { command, proposalId } = proposal
     const result = this.#apply(command)
-    this.feed({ kind: 'applied', proposalId, index: this.#index, command, result })
+    this.dispatch({ kind: 'applied', proposalId, index: this.#index, command, result })
   }
 
-  /** Commits everything that is proposed, and what follows from it. */
+  /** Commits all proposals, including those that result from the commits. */
   commitAll (): void {
     while (this.proposals.length > 0) this.commit()
   }
 
-  /** Delivers a message; with `isKept` it stays on its way and arrives again. */
-  deliver (position: number, isKept = false, isToFormer = false): void {
+  /** Delivers a message; with `isDuplicated` it stays in transit and is delivered again. */
+  deliver (position: number, isDuplicated = false, isToFormerLeader = false): void {
     const message = this.messages[position]
     if (message === undefined) return
-    if (!isKept) this.messages.splice(position, 1)
-    if (this.#isCutOff(message)) return
-    const leader = isToFormer ? this.formerLeader ?? this.leader : this.leader
+    if (!isDuplicated) this.messages.splice(position, 1)
+    if (this.#isPartitioned(message)) return
+    const leader = isToFormerLeader ? this.formerLeader ?? this.leader : this.leader
     switch (message.kind) {
       case 'orders': this.#deliverOrders(message.effect); break
-      case 'answer': this.feed({ kind: 'orders_answered', orderId: message.orderId, results: message.results }, leader); break
+      case 'answer': this.dispatch({ kind: 'orders_answered', orderId: message.orderId, results: message.results }, leader); break
       case 'report': this.#deliverReport(message, leader); break
       case 'lease': this.#deliverLease(message); break
     }
@@ -181,27 +181,27 @@
     this.#send({ kind: 'report', report: worker.report(this.nowMs), sentMs: this.nowMs })
   }
 
-  /** Lets time pass, with every wake of the leader and every end of a lease at its time. */
+  /** Advances time, with a `tick` at each wake-up time that the leader requests. */
   advance (elapsedMs: number): void {
     const endMs = this.nowMs + elapsedMs
     while (this.nowMs < endMs) {
       const wakeMs = Math.max(this.leader.nextWakeAtMs(), this.nowMs + 1)
       this.nowMs = Math.min(endMs, wakeMs)
       for (const worker of this.workers) worker.advance(this.nowMs)
-      this.feed({ kind: 'tick' })
+      this.dispatch({ kind: 'tick' })
     }
   }
 
-  /** Elects a new leader: the first `keptProposals` in flight are still committed, the others are lost. */
-  replaceLeader (keptProposals = 0): void {
-    for (const { command } of this.proposals.splice(0, keptProposals)) this.#apply(command)
+  /** Elects a new leader. The first `committedCount` proposals in flight are still committed, the others are lost. */
+  replaceLeader (committedCount = 0): void {
+    for (const { command } of this.proposals.splice(0, committedCount)) this.#apply(command)
     this.proposals = []
-    this.#advanceWithoutLeader(ELECTION_MS)
+    this.#advanceWithoutLeader(ELECTION_TIMEOUT_MS)
     this.formerLeader = this.leader
     this.#term += 1
     this.scheduler = new FakeScheduler()
     this.leader = this.#newLeader()
-    this.feed({ kind: 'tick' })
+    this.dispatch({ kind: 'tick' })
   }
 
   #advanceWithoutLeader (elapsedMs: number): void {
@@ -209,7 +209,7 @@
     for (const worker of this.workers) worker.advance(this.nowMs)
   }
 
-  /** Takes one step in the order in which things were sent; false when nothing is on its way. */
+  /** Commits the next proposal or else delivers the next message, in sending order; false if there is neither. */
   step (): boolean {
     if (this.proposals.length > 0) this.commit()
     else if (this.messages.length > 0) this.deliver(0)
@@ -217,7 +217,7 @@
     return true
   }
 
-  /** Works without faults for a time, with regular reports. */
+  /** Runs without faults for a time, with regular worker reports. */
   run (durationMs: number): void {
     const endMs = this.nowMs + durationMs
     for (let reportMs = this.nowMs; this.nowMs < endMs; reportMs += REPORT_INTERVAL_MS) {
@@ -229,14 +229,14 @@
     }
   }
 
-  /** Ends all faults and runs until every job has ended or `limitMs` have passed. */
-  heal (limitMs = 60_000): void {
+  /** Ends all faults and runs until every job has ended, for at most `limitMs`. */
+  recover (limitMs = 60_000): void {
     this.formerLeader = undefined
     for (const worker of this.workers) {
       worker.behaviour = 'works'
-      worker.isCutOff = false
+      worker.isPartitioned = false
       worker.resume(this.nowMs)
-      if (worker.isDead) worker.restart(this.nowMs)
+      if (worker.isCrashed) worker.restart(this.nowMs)
     }
     const endMs = this.nowMs + limitMs
     this.run(500)
@@ -260,30 +260,30 @@
     })
   }
 
-  #perform (effects: readonly ControlEffect[], isLeading: boolean): void {
+  #applyEffects (effects: readonly ControlEffect[], isCurrentLeader: boolean): void {
     for (const effect of effects) {
       if (effect.kind === 'send_orders') this.#send({ kind: 'orders', effect })
       else if (effect.kind === 'reply') this.#reply(effect.requestId, effect.result)
-      else if (isLeading) this.proposals.push(effect)
+      else if (isCurrentLeader) this.proposals.push(effect)
     }
   }
 
   #send (message: Message): void {
-    this.messages.push(this.#tamper(message))
+    this.messages.push(this.#intercept(message))
   }
 
   #reply (requestId: string, result: ControlResult): void {
-    const waiting = this.#reports.get(requestId)
-    this.#reports.delete(requestId)
-    if (waiting === undefined) this.replies.set(requestId, result)
-    else this.#send({ kind: 'lease', ...waiting, result })
+    const pending = this.#pendingReports.get(requestId)
+    this.#pendingReports.delete(requestId)
+    if (pending === undefined) this.replies.set(requestId, result)
+    else this.#send({ kind: 'lease', ...pending, result })
   }
 
-  #isCutOff (message: Message): boolean {
+  #isPartitioned (message: Message): boolean {
     switch (message.kind) {
-      case 'orders': return this.worker(message.effect.workerId).isCutOff
-      case 'answer': return this.worker(message.workerId).isCutOff
-      default: return this.worker(message.report.workerId).isCutOff
+      case 'orders': return this.worker(message.effect.workerId).isPartitioned
+      case 'answer': return this.worker(message.workerId).isPartitioned
+      default: return this.worker(message.report.workerId).isPartitioned
     }
   }
 
@@ -294,10 +294,10 @@
   }
 
   #deliverReport ({ report, sentMs }: Extract<Message, { kind: 'report' }>, leader: ControlLeader): void {
-    this.#requests += 1
-    const requestId = `r${this.#requests}`
-    this.#reports.set(requestId, { report, sentMs })
-    this.feed({ kind: 'operation', requestId, operation: { kind: 'report_worker', report } }, leader)
+    this.#requestCount += 1
+    const requestId = `r${this.#requestCount}`
+    this.#pendingReports.set(requestId, { report, sentMs })
+    this.dispatch({ kind: 'operation', requestId, operation: { kind: 'report_worker', report } }, leader)
   }
 
   #deliverLease ({ report, sentMs, result }: Extract<Message, { kind: 'lease' }>): void {
