--- a/packages/batch/src/lasting-availability.ts
+++ b/packages/batch/src/disruption-budget.ts
@@ -2,8 +2,8 @@
 import type { BatchState, LocatedTask } from './batch-state.js'
 import type { Assignment } from './commands.js'
 import { stepKeyOf } from './jobs.js'
-import { FULL_PROGRESS_PERCENT } from './worker-report.js'
-import type { WorkerTable } from './worker-table.js'
+import { FULL_PROGRESS_PERCENT } from './worker-messages.js'
+import type { WorkerTable } from './worker-registry.js'
 
 /** Looks at the lasting tasks of all workers. */
 export class LastingAvailability {
--- a/packages/batch/src/evacuation.ts
+++ b/packages/batch/src/evictions.ts
@@ -1,9 +1,9 @@
 /** Runs that are taken off their workers before these leave or because they stand still. */
 import type { BatchState } from './batch-state.js'
 import type { Assignment } from './commands.js'
-import { occupyingRuns, type OccupyingRun } from './free-capacity.js'
+import { occupyingRuns, type OccupyingRun } from './worker-capacity.js'
 import type { BatchSettings } from './settings.js'
-import { FULL_PROGRESS_PERCENT } from './worker-report.js'
+import { FULL_PROGRESS_PERCENT } from './worker-messages.js'
 import type { WorkerView } from './worker-view.js'
 
 /** Why a run is taken off its worker. */
--- a/packages/batch/src/pacing.ts
+++ b/packages/batch/src/filler-pacing.ts
@@ -1,7 +1,7 @@
 /** Slows fillers down where they disturb lasting tasks that serve users. */
 import { runInLife, type BatchState } from './batch-state.js'
 import type { StepSpec } from './jobs.js'
-import type { PaceOrder, RunningTask } from './worker-report.js'
+import type { PaceOrder, RunningTask } from './worker-messages.js'
 import type { WorkerView } from './worker-view.js'
 
 /** Tail latency as a share of its target above which fillers are slowed, and below which they speed up again. */
--- a/packages/batch/src/maintenance.ts
+++ b/packages/batch/src/maintenance.ts
@@ -3,7 +3,7 @@
 import type { BatchState, WaveRecord } from './batch-state.js'
 import type { Assignment } from './commands.js'
 import type { BatchSettings } from './settings.js'
-import type { WorkerTable } from './worker-table.js'
+import type { WorkerTable } from './worker-registry.js'
 import type { WorkerView } from './worker-view.js'
 
 /** What the platform said to a maintenance of one VM. */
--- a/packages/batch/src/operation-handler.ts
+++ b/packages/batch/src/operation-handler.ts
@@ -6,7 +6,7 @@
 import type { JobSpec } from './jobs.js'
 import type { BatchOperation, BatchResult, QueueRequest } from './operations.js'
 import { queueAddress, validateDocument, type QueueConfiguration } from './queues.js'
-import type { WorkerTable } from './worker-table.js'
+import type { WorkerTable } from './worker-registry.js'
 
 /** What becomes of a proposal when its command is applied or rejected. */
 export type ProposalOutcome =
--- a/packages/batch/src/order-book.ts
+++ b/packages/batch/src/order-planner.ts
@@ -1,12 +1,12 @@
 /** Orders for workers: what the answer to a heartbeat has to say. */
 import type { Clock } from '@comfreygrade/core'
-import type { AdviceBook } from './advice.js'
+import type { AdviceBook } from './advice-tickets.js'
 import { runInLife, runKey, type BatchState, type LocatedTask } from './batch-state.js'
 import type { Assignment } from './commands.js'
 import { stepKeyOf } from './jobs.js'
-import { FillerPacing } from './pacing.js'
+import { FillerPacing } from './filler-pacing.js'
 import type { BatchSettings } from './settings.js'
-import type { StartOrder, StopOrder, WorkerOrders } from './worker-report.js'
+import type { StartOrder, StopOrder, WorkerOrders } from './worker-messages.js'
 import type { WorkerView } from './worker-view.js'
 
 /** Options of {@link OrderBook}. */
--- a/packages/batch/src/reclaim-policy.ts
+++ b/packages/batch/src/reclaim-policy.ts
@@ -1,7 +1,7 @@
 /** How much of others' work may be thrown away for waiting work, and when. */
 import { coresOf } from './jobs.js'
 import type { BatchSettings } from './settings.js'
-import type { WaitingStep } from './waiting-work.js'
+import type { WaitingStep } from './waiting-steps.js'
 
 /** What is known of a step that does not fit now. */
 export interface WaitingSituation {
--- a/packages/batch/src/reclaim.ts
+++ b/packages/batch/src/reclaim.ts
@@ -1,9 +1,9 @@
 /** Capacity taken back from lower priorities for urgent work within a guarantee. */
 import type { Assignment } from './commands.js'
-import type { OccupyingRun, WorkerSlot } from './free-capacity.js'
-import { chooseWorkers, onlyCandidates, undo, type Candidates, type TaskChoice } from './fitting.js'
+import type { OccupyingRun, WorkerSlot } from './worker-capacity.js'
+import { chooseWorkers, onlyCandidates, undo, type Candidates, type TaskChoice } from './worker-selection.js'
 import { coresOf } from './jobs.js'
-import type { WaitingStep } from './waiting-work.js'
+import type { WaitingStep } from './waiting-steps.js'
 
 interface Victim {
   readonly slot: WorkerSlot
--- a/packages/batch/src/reservation.ts
+++ b/packages/batch/src/reservation.ts
@@ -1,7 +1,7 @@
 /** Room held back for work that does not fit yet, so that smaller work does not keep it waiting for ever. */
-import type { Candidates } from './fitting.js'
-import type { WorkerSlot } from './free-capacity.js'
-import type { WaitingStep } from './waiting-work.js'
+import type { Candidates } from './worker-selection.js'
+import type { WorkerSlot } from './worker-capacity.js'
+import type { WaitingStep } from './waiting-steps.js'
 
 interface ExpectedStart {
   readonly slot: WorkerSlot
--- a/packages/batch/src/scheduler.ts
+++ b/packages/batch/src/scheduler.ts
@@ -4,15 +4,15 @@
 import type { Assignment } from './commands.js'
 import {
   candidatesFor, chooseWorkers, onlyCandidates, RACK_PATIENCE_MS, undo, waitingKey, type Candidates, type TaskChoice
-} from './fitting.js'
-import { couldHold, occupyingRuns, usedShare, WorkerSlot } from './free-capacity.js'
+} from './worker-selection.js'
+import { couldHold, occupyingRuns, usedShare, WorkerSlot } from './worker-capacity.js'
 import { taskKey } from './jobs.js'
-import type { WorkOrder } from './ranking.js'
+import type { WorkOrder } from './scheduling-order.js'
 import { holdFreedRoom, planReclaim, type ReclaimPlan } from './reclaim.js'
 import { ObjectiveReclaim, type ReclaimPolicy } from './reclaim-policy.js'
 import { ExpectedRoom, reserve } from './reservation.js'
 import type { BatchSettings } from './settings.js'
-import { waitingSteps, type WaitingStep } from './waiting-work.js'
+import { waitingSteps, type WaitingStep } from './waiting-steps.js'
 import type { WorkerView } from './worker-view.js'
 
 /** What a pass reads besides the replicated state. */
--- a/packages/batch/src/ranking.ts
+++ b/packages/batch/src/scheduling-order.ts
@@ -1,5 +1,5 @@
 /** The order in which waiting work is considered. */
-import type { WaitingStep } from './waiting-work.js'
+import type { WaitingStep } from './waiting-steps.js'
 
 /** Order of waiting steps; a policy that varies. */
 export abstract class WorkOrder {
--- a/packages/batch/src/waiting-work.ts
+++ b/packages/batch/src/waiting-steps.ts
@@ -4,7 +4,7 @@
 import type { BatchState } from './batch-state.js'
 import { isStepDone, createOccurrence, type JobRecord, type OccurrenceRecord } from './job-record.js'
 import { occurrenceDueMs, type JobSpec, type StepSpec } from './jobs.js'
-import { GuaranteeLedger } from './guarantee-ledger.js'
+import { GuaranteeLedger } from './guarantee-coverage.js'
 import type { QueueConfiguration } from './queues.js'
 
 /** Tasks of one step that wait for workers. */
--- a/packages/batch/src/worker-places.ts
+++ b/packages/batch/src/worker-locations.ts
@@ -1,5 +1,5 @@
 /** Workers by the VM and the address at which they live. */
-import type { WorkerReport } from './worker-report.js'
+import type { WorkerReport } from './worker-messages.js'
 
 type Place = Pick<WorkerReport, 'workerId' | 'vmId' | 'address'>
 
--- a/packages/batch/src/worker-table.ts
+++ b/packages/batch/src/worker-registry.ts
@@ -2,13 +2,13 @@
 import type { Clock, EventLog } from '@comfreygrade/core'
 import type { BatchState } from './batch-state.js'
 import type { RunEnd, WorkerLife } from './commands.js'
-import { couldHold } from './free-capacity.js'
+import { couldHold } from './worker-capacity.js'
 import { jobIdOf } from './jobs.js'
 import type { BatchSettings } from './settings.js'
 import { WorkerHealth } from './worker-health.js'
-import type { WaitingStep } from './waiting-work.js'
-import { FULL_PROGRESS_PERCENT, type WorkerReport } from './worker-report.js'
-import { WorkerPlaces } from './worker-places.js'
+import type { WaitingStep } from './waiting-steps.js'
+import { FULL_PROGRESS_PERCENT, type WorkerReport } from './worker-messages.js'
+import { WorkerPlaces } from './worker-locations.js'
 import { WorkerView } from './worker-view.js'
 
 /** What became of a heartbeat. */
--- a/packages/batch/src/fitting.ts
+++ b/packages/batch/src/worker-selection.ts
@@ -1,7 +1,7 @@
 /** Choice of workers for the tasks of a step. */
 import { stepKey } from './jobs.js'
-import { tasksThatFit, type WorkerSlot } from './free-capacity.js'
-import type { WaitingStep } from './waiting-work.js'
+import { tasksThatFit, type WorkerSlot } from './worker-capacity.js'
+import type { WaitingStep } from './waiting-steps.js'
 
 /** A task and the worker chosen for it. */
 export interface TaskChoice {
--- a/packages/batch/src/worker-view.ts
+++ b/packages/batch/src/worker-view.ts
@@ -2,7 +2,7 @@
 import type { Clock } from '@comfreygrade/core'
 import { runInLife, runKey } from './batch-state.js'
 import type { Assignment } from './commands.js'
-import type { WorkerReport, RunningTask } from './worker-report.js'
+import type { WorkerReport, RunningTask } from './worker-messages.js'
 import type { BatchSettings } from './settings.js'
 
 /** Whether ends listed now can still count. */
--- a/packages/batch/test/state.test.ts
+++ b/packages/batch/test/batch-state.test.ts
@@ -1,6 +1,6 @@
 import test from 'ava'
 import { BatchState, type Assignment, type EndReason } from '../src/index.js'
-import { document, HOST, job, step } from './fixture.js'
+import { document, HOST, job, step } from './sample-data.js'
 
 const ADDRESS = `${HOST}/normal/`
 const worker = { workerId: 'w1', incarnation: 1_000 }
--- a/packages/batch/test/leader-fixture.ts
+++ b/packages/batch/test/leader-fixture.ts
@@ -4,7 +4,7 @@
   BatchLeader, BatchState, defaultBatchSettings, type BatchOperation, type BatchResult, type BatchSettings,
   type LeaderEffect, type LeaderEvent, type MaintenanceCall, type WorkerOrders, type WorkerReport
 } from '../src/index.js'
-import { document, HOST, KEY, report } from './fixture.js'
+import { document, HOST, KEY, report } from './sample-data.js'
 import type { StepSpec } from '../src/index.js'
 
 /** Longer than the interval between passes. */
--- a/packages/batch/test/leader.test.ts
+++ b/packages/batch/test/leader.test.ts
@@ -1,5 +1,5 @@
 import test from 'ava'
-import { document, HOST, KEY, queue, report, step } from './fixture.js'
+import { document, HOST, KEY, queue, report, step } from './sample-data.js'
 import { LeaderFixture, rows } from './leader-fixture.js'
 
 /** A worker that has been heard, so that a pass can use it. */
--- a/packages/batch/test/lost-worker.test.ts
+++ b/packages/batch/test/lost-worker.test.ts
@@ -1,6 +1,6 @@
 /** Workers that are lost: their saved work goes on elsewhere, and their old heartbeats count for nothing. */
 import test from 'ava'
-import { report, step } from './fixture.js'
+import { report, step } from './sample-data.js'
 import { LeaderFixture, rows } from './leader-fixture.js'
 import type { WorkerReport } from '../src/index.js'
 
--- a/packages/batch/test/upkeep.test.ts
+++ b/packages/batch/test/maintenance.test.ts
@@ -1,5 +1,5 @@
 import test from 'ava'
-import { step } from './fixture.js'
+import { step } from './sample-data.js'
 import { LeaderFixture, rows } from './leader-fixture.js'
 
 const wave = { waveId: '1', vmIds: ['vm-w1', 'vm-w2'], maxConcurrent: 1, durationMs: 20_000 }
--- a/packages/batch/test/report-desk.test.ts
+++ b/packages/batch/test/pending-reports.test.ts
@@ -1,6 +1,6 @@
 /** When heartbeats are answered, and how many there are in a large fleet. */
 import test from 'ava'
-import { document, report, step } from './fixture.js'
+import { document, report, step } from './sample-data.js'
 import { LeaderFixture, rows } from './leader-fixture.js'
 
 /** A fleet whose idle workers wait for work as in production. */
--- a/packages/batch/test/queues.test.ts
+++ b/packages/batch/test/queues.test.ts
@@ -1,6 +1,6 @@
 import test from 'ava'
 import { QueueDirectory, validateDocument } from '../src/index.js'
-import { document, HOST, queue } from './fixture.js'
+import { document, HOST, queue } from './sample-data.js'
 
 function reasonOf (fields: Partial<ReturnType<typeof document>>): string {
   const result = validateDocument({ ...document(), ...fields })
--- a/packages/batch/test/scheduler.test.ts
+++ b/packages/batch/test/scheduler.test.ts
@@ -1,5 +1,5 @@
 import test from 'ava'
-import { document, KEY, step } from './fixture.js'
+import { document, KEY, step } from './sample-data.js'
 import { LeaderFixture, rows } from './leader-fixture.js'
 import type { WorkerOrders } from '../src/index.js'
 
--- a/packages/batch/test/worker-view.test.ts
+++ b/packages/batch/test/worker-view.test.ts
@@ -2,7 +2,7 @@
 import { ManualClock } from '@comfreygrade/core'
 import { defaultBatchSettings } from '../src/index.js'
 import { WorkerView } from '../src/worker-view.js'
-import { report } from './fixture.js'
+import { report } from './sample-data.js'
 
 const settings = { ...defaultBatchSettings, leaseMs: 6_000 }
 const row = { taskKey: 'j1.0.0.0', run: 1, checkpoint: '', percent: 10, usage: 0 }
