--- a/packages/batch/src/advice-tickets.ts
+++ b/packages/batch/src/advice-tickets.ts
@@ -1,33 +1,33 @@
-/** Permissions of queues whose policy lets only some workers run a step. */
+/** Cache of the tickets that the advice service grants for queues whose policy lets only some workers run a step. */
 import type { Clock } from '@comfreygrade/core'
 import { jobIdOf } from './jobs.js'
 
-/** A permission for one worker. */
+/** Permission to run a step on one worker. */
 export interface Ticket {
   readonly workerId: string
   readonly ticket: string
 }
 
-interface HeldTicket {
+interface CachedTicket {
   readonly ticket: string
   readonly incarnation: number
   readonly expiresAtMs: number
 }
 
-/** Tickets are used only while this much of their validity is left, for the way of the order. */
-const TICKET_MARGIN_MS = 400
+/** Validity that a ticket must have left to be used, since the start order takes time to arrive. */
+const TICKET_EXPIRY_MARGIN_MS = 400
 
-/** A call for advice that failed is repeated after this time. */
-const RETRY_MS = 500
+/** Shortest time from an answer of the advice service until the next request for the same step. */
+const REQUEST_INTERVAL_MS = 500
 
 interface StepTickets {
-  readonly byWorker: Map<string, HeldTicket>
-  isAsking: boolean
-  askAgainAtMs: number
+  readonly ticketsByWorker: Map<string, CachedTicket>
+  isRequestPending: boolean
+  nextRequestAtMs: number
 }
 
-/** Tickets in hand, by step. */
-export class AdviceBook {
+/** Tickets by step. */
+export class TicketCache {
   readonly #clock: Clock
   readonly #steps = new Map<string, StepTickets>()
 
@@ -35,49 +35,51 @@
     this.#clock = clock
   }
 
-  /** Workers that may run a step now; undefined while that is not known. */
+  /** Workers with a valid ticket for a step; undefined while there is none. */
   permittedWorkers (key: string): ReadonlySet<string> | undefined {
     const step = this.#steps.get(key)
     if (step === undefined) return undefined
     const nowMs = this.#clock.monotonicMs()
-    const permitted = [...step.byWorker].filter(([, held]) => held.expiresAtMs - TICKET_MARGIN_MS > nowMs)
+    const permitted = [...step.ticketsByWorker]
+      .filter(([, cached]) => cached.expiresAtMs - TICKET_EXPIRY_MARGIN_MS > nowMs)
     return permitted.length === 0 ? undefined : new Set(permitted.map(([workerId]) => workerId))
   }
 
-  /** The ticket for a run of a step on this life of a worker. */
+  /** The valid ticket for a run of a step on this incarnation of a worker. */
   ticketFor (key: string, workerId: string, incarnation: number): string | undefined {
-    const held = this.#steps.get(key)?.byWorker.get(workerId)
-    if (held === undefined || held.incarnation !== incarnation) return undefined
-    return held.expiresAtMs > this.#clock.monotonicMs() ? held.ticket : undefined
+    const cached = this.#steps.get(key)?.ticketsByWorker.get(workerId)
+    if (cached === undefined || cached.incarnation !== incarnation) return undefined
+    return cached.expiresAtMs > this.#clock.monotonicMs() ? cached.ticket : undefined
   }
 
-  /** Whether to ask for a step now; notes that it is being asked. */
-  startAsking (key: string): boolean {
-    const step = this.#steps.get(key) ?? { byWorker: new Map(), isAsking: false, askAgainAtMs: -Infinity }
+  /** Marks a request for a step as pending; returns false where one is pending already or the next is not due. */
+  tryStartRequest (key: string): boolean {
+    const step = this.#steps.get(key) ??
+      { ticketsByWorker: new Map(), isRequestPending: false, nextRequestAtMs: -Infinity }
     this.#steps.set(key, step)
-    if (step.isAsking || this.#clock.monotonicMs() < step.askAgainAtMs) return false
-    step.isAsking = true
+    if (step.isRequestPending || this.#clock.monotonicMs() < step.nextRequestAtMs) return false
+    step.isRequestPending = true
     return true
   }
 
-  /** Takes an answer; undefined where the call failed. */
-  answered (
+  /** Stores the tickets of an answer; `tickets` is undefined where the call failed. */
+  completeRequest (
     key: string, tickets: readonly Ticket[] | undefined, incarnations: ReadonlyMap<string, number>, validMs: number,
-    askedAtMs: number
+    requestedAtMs: number
   ): void {
     const step = this.#steps.get(key)
     if (step === undefined) return
-    step.isAsking = false
-    step.askAgainAtMs = this.#clock.monotonicMs() + RETRY_MS
+    step.isRequestPending = false
+    step.nextRequestAtMs = this.#clock.monotonicMs() + REQUEST_INTERVAL_MS
     for (const { workerId, ticket } of tickets ?? []) {
       const incarnation = incarnations.get(workerId)
       if (incarnation === undefined) continue
-      step.byWorker.set(workerId, { ticket, incarnation, expiresAtMs: askedAtMs + validMs })
+      step.ticketsByWorker.set(workerId, { ticket, incarnation, expiresAtMs: requestedAtMs + validMs })
     }
   }
 
-  /** Forgets the steps of jobs that have ended. */
-  retain (isOpen: (jobId: string) => boolean): void {
+  /** Removes the steps of jobs that have ended. */
+  retainOpenJobs (isOpen: (jobId: string) => boolean): void {
     for (const key of this.#steps.keys()) {
       if (!isOpen(jobIdOf(key))) this.#steps.delete(key)
     }
--- a/packages/batch/src/batch-state.ts
+++ b/packages/batch/src/batch-state.ts
@@ -1,51 +1,51 @@
-/** The replicated state of jobs, workers' ends, configuration and maintenance. */
+/** The replicated state: jobs, run ends by worker, configuration and maintenance waves. */
 import { parseTaskKey, type StepSpec, type TaskId } from './jobs.js'
 import {
   createJobRecord, createOccurrence, isJobDone, type ActiveRun, type JobRecord, type OccurrenceRecord,
   type StepRecord, type TaskRecord
 } from './job-record.js'
 import type {
-  Assignment, BatchCommand, CommandResult, MaintenanceWave, RunEnd, TaskCheckpoint, WorkerLife
+  Assignment, BatchCommand, CommandResult, MaintenanceWave, RunEnd, TaskCheckpoint, WorkerIncarnation
 } from './commands.js'
 import { QueueDirectory, type QueueDocument } from './queues.js'
 
 type CommandOf<K extends BatchCommand['kind']> = Extract<BatchCommand, { kind: K }>
 
-/** Ends of one life of a worker. */
-interface WorkerRecord {
+/** The latest incarnation of a worker and the last of its run ends that is recorded. */
+interface WorkerEndsRecord {
   incarnation: number
   lastEndSequence: number
 }
 
-/** A maintenance wave and how far it is. */
+/** A maintenance wave and its progress. */
 export interface WaveRecord {
   readonly wave: MaintenanceWave
   readonly startedWallMs: number
-  /** VMs whose maintenance the platform has begun. */
+  /** VMs whose maintenance the platform has begun, or that need none. */
   done: string[]
 }
 
-/** Serialised state. */
+/** Serialisable copy of the state. */
 export interface BatchSnapshot {
   readonly document: QueueDocument | null
   readonly jobs: readonly JobRecord[]
-  readonly workers: ReadonlyArray<readonly [string, WorkerRecord]>
+  readonly workers: ReadonlyArray<readonly [string, WorkerEndsRecord]>
   readonly waves: readonly WaveRecord[]
 }
 
-/** A task together with the records above it. */
-export interface LocatedTask {
+/** A task with its step and job. */
+export interface TaskContext {
   readonly job: JobRecord
   readonly stepSpec: StepSpec
   readonly step: StepRecord
   readonly task: TaskRecord
 }
 
-/** Failed runs remembered of a task, to keep its next run off those workers. */
-const MAX_FAILED_ON = 4
+/** Workers kept of a task's failed runs, so that its next run avoids them. */
+const MAX_FAILED_WORKERS_PER_TASK = 4
 
 /**
- * Deterministic state: the same commands at the same log times give the same state on every replica.
+ * Deterministic state machine: the same commands at the same log times give the same state on every replica.
  *
  * @example
  * const state = new BatchState({ endedJobRetentionMs: 300_000 })
@@ -57,39 +57,39 @@
   readonly #jobs = new Map<string, JobRecord>()
   readonly #openJobs = new Map<string, JobRecord>()
   readonly #endedJobs: JobRecord[] = []
-  readonly #workers = new Map<string, WorkerRecord>()
-  readonly #runs = new Map<string, Map<string, Assignment>>()
-  /** Tasks with active runs by key, since the leader looks these up all the time. */
-  readonly #located = new Map<string, LocatedTask>()
+  readonly #workers = new Map<string, WorkerEndsRecord>()
+  readonly #runsByWorker = new Map<string, Map<string, Assignment>>()
+  /** Tasks with active runs, by key: a cache for the leader, which looks these up in every pass and heartbeat. */
+  readonly #activeTasks = new Map<string, TaskContext>()
   readonly #waves = new Map<string, WaveRecord>()
 
   constructor (options: { readonly endedJobRetentionMs: number }) {
     this.#endedJobRetentionMs = options.endedJobRetentionMs
   }
 
-  /** Builds the state from a snapshot. */
+  /** Restores the state from a snapshot. */
   static restore (snapshot: BatchSnapshot, options: { readonly endedJobRetentionMs: number }): BatchState {
     const state = new BatchState(options)
     state.#directory = snapshot.document === null ? null : new QueueDirectory(snapshot.document)
-    for (const job of snapshot.jobs) state.#adoptJob(job)
+    for (const job of snapshot.jobs) state.#restoreJob(job)
     for (const [workerId, record] of snapshot.workers) state.#workers.set(workerId, record)
     for (const record of snapshot.waves) state.#waves.set(record.wave.waveId, record)
     return state
   }
 
-  #adoptJob (job: JobRecord): void {
+  #restoreJob (job: JobRecord): void {
     this.#jobs.set(job.spec.jobId, job)
     if (job.state === 'open') this.#openJobs.set(job.spec.jobId, job)
     else this.#endedJobs.push(job)
     job.occurrences.forEach((occurrence, occurrenceIndex) => {
       occurrence?.steps.forEach((step, stepIndex) => step.tasks.forEach((task, index) => {
         const key = `${job.spec.jobId}.${occurrenceIndex}.${stepIndex}.${index}`
-        for (const run of task.active) this.#index({ ...run, taskKey: key })
+        for (const run of task.active) this.#indexRun({ ...run, taskKey: key })
       }))
     })
   }
 
-  /** Serialises the state. */
+  /** Returns the state in serialisable form. */
   snapshot (): BatchSnapshot {
     return {
       document: this.#directory?.document ?? null,
@@ -99,12 +99,12 @@
     }
   }
 
-  /** Queues in force, or null before the first configuration. */
+  /** Directory of the configuration in force, or null before the first one. */
   get directory (): QueueDirectory | null {
     return this.#directory
   }
 
-  /** A job that is known. */
+  /** An open job, or an ended one within its retention. */
   job (jobId: string): JobRecord | undefined {
     return this.#jobs.get(jobId)
   }
@@ -114,25 +114,25 @@
     return this.#openJobs.values()
   }
 
-  /** Runs that may be on a worker, of any of its lives. */
+  /** Runs that may be on a worker, of any of its incarnations. */
   runsOf (workerId: string): Iterable<Assignment> {
-    return this.#runs.get(workerId)?.values() ?? []
+    return this.#runsByWorker.get(workerId)?.values() ?? []
   }
 
   /** Whether any run may be on a worker. */
   hasRuns (workerId: string): boolean {
-    return this.#runs.has(workerId)
+    return this.#runsByWorker.has(workerId)
   }
 
   /** Workers that may have runs. */
   workersWithRuns (): Iterable<string> {
-    return this.#runs.keys()
+    return this.#runsByWorker.keys()
   }
 
-  /** The latest end of this life that is recorded. */
-  lastEndSequence (life: WorkerLife): number {
-    const record = this.#workers.get(life.workerId)
-    return record?.incarnation === life.incarnation ? record.lastEndSequence : 0
+  /** Sequence number of the last recorded run end of this incarnation; 0 for none. */
+  lastEndSequence (worker: WorkerIncarnation): number {
+    const record = this.#workers.get(worker.workerId)
+    return record?.incarnation === worker.incarnation ? record.lastEndSequence : 0
   }
 
   /** Maintenance waves in order of their start. */
@@ -145,14 +145,14 @@
     return this.#waves.get(waveId)
   }
 
-  /** Finds a task whose occurrence has begun. */
-  locate (key: string): LocatedTask | undefined {
-    const known = this.#located.get(key)
+  /** Finds a task; undefined where its job is not known or no run of its occurrence was ever assigned. */
+  findTask (key: string): TaskContext | undefined {
+    const known = this.#activeTasks.get(key)
     if (known !== undefined && this.#jobs.get(known.job.spec.jobId) === known.job) return known
-    return this.#find(key)
+    return this.#lookUpTask(key)
   }
 
-  #find (key: string): LocatedTask | undefined {
+  #lookUpTask (key: string): TaskContext | undefined {
     const id = parseTaskKey(key)
     const job = id === undefined ? undefined : this.#jobs.get(id.jobId)
     if (id === undefined || job === undefined) return undefined
@@ -165,7 +165,7 @@
 
   /** Applies a committed command. */
   apply (command: BatchCommand, logTimeMs: number): CommandResult {
-    this.#dropOldJobs(logTimeMs)
+    this.#removeExpiredJobs(logTimeMs)
     switch (command.kind) {
       case 'put_configuration': return this.#putConfiguration(command)
       case 'submit_job': return this.#submit(command)
@@ -212,15 +212,15 @@
   #assignOne (assignment: Assignment): void {
     const { taskKey, run, workerId, incarnation } = assignment
     const id = parseTaskKey(taskKey)
-    const task = id === undefined ? undefined : this.#openTask(id)
+    const task = id === undefined ? undefined : this.#findOrCreateTask(id)
     if (task === undefined || task.isDone || run <= task.lastRun) return
-    this.#enterLife({ workerId, incarnation })
+    this.#advanceIncarnation({ workerId, incarnation })
     task.lastRun = run
     task.active.push({ run, workerId, incarnation })
-    this.#index(assignment)
+    this.#indexRun(assignment)
   }
 
-  #openTask (id: TaskId): TaskRecord | undefined {
+  #findOrCreateTask (id: TaskId): TaskRecord | undefined {
     const job = this.#openJobs.get(id.jobId)
     if (job === undefined || id.occurrence >= job.occurrences.length) return undefined
     const occurrence: OccurrenceRecord = job.occurrences[id.occurrence] ??= createOccurrence(job.spec)
@@ -228,7 +228,7 @@
   }
 
   #recordEnds ({ life, ends }: CommandOf<'record_ends'>, logTimeMs: number): CommandResult {
-    this.#enterLife(life)
+    this.#advanceIncarnation(life)
     const record = this.#workers.get(life.workerId)
     if (record === undefined || record.incarnation !== life.incarnation) return { kind: 'unchanged' }
     for (const end of ends) {
@@ -239,25 +239,25 @@
     return { kind: 'applied' }
   }
 
-  #recordEnd (life: WorkerLife, end: RunEnd, logTimeMs: number): void {
-    const located = this.locate(end.taskKey)
-    if (located === undefined || !this.#removeRun({ ...life, taskKey: end.taskKey, run: end.run })) return
-    const { job, stepSpec, step, task } = located
+  #recordEnd (worker: WorkerIncarnation, end: RunEnd, logTimeMs: number): void {
+    const context = this.findTask(end.taskKey)
+    if (context === undefined || !this.#removeRun({ ...worker, taskKey: end.taskKey, run: end.run })) return
+    const { job, stepSpec, step, task } = context
     if (job.state !== 'open') return
     job.hasStarted = true
-    this.#keepCheckpoint(stepSpec, step, task, end.checkpoint)
-    if (end.reason === 'done') this.#taskDone(located, logTimeMs)
-    if (end.reason === 'failed') this.#taskFailed(located, end.run, life.workerId, logTimeMs)
+    this.#saveCheckpoint(stepSpec, step, task, end.checkpoint)
+    if (end.reason === 'done') this.#taskDone(context, logTimeMs)
+    if (end.reason === 'failed') this.#taskFailed(context, end.run, worker.workerId, logTimeMs)
   }
 
-  #taskDone ({ job, stepSpec, step, task }: LocatedTask, logTimeMs: number): void {
+  #taskDone ({ job, stepSpec, step, task }: TaskContext, logTimeMs: number): void {
     if (stepSpec.isLasting) return
     for (const member of stepSpec.isGang ? step.tasks : [task]) member.isDone = true
     if (isJobDone(job)) this.#endJob(job, 'completed', logTimeMs)
   }
 
-  #taskFailed ({ job, stepSpec, step, task }: LocatedTask, run: number, workerId: string, logTimeMs: number): void {
-    task.failedOn = [...task.failedOn, workerId].slice(-MAX_FAILED_ON)
+  #taskFailed ({ job, stepSpec, step, task }: TaskContext, run: number, workerId: string, logTimeMs: number): void {
+    task.failedOn = [...task.failedOn, workerId].slice(-MAX_FAILED_WORKERS_PER_TASK)
     if (stepSpec.isLasting) return
     if (stepSpec.isGang && run <= step.lastFailedRun) return
     step.lastFailedRun = Math.max(step.lastFailedRun, run)
@@ -266,8 +266,8 @@
     if (task.failures >= maxAttempts && !task.isDone) this.#endJob(job, 'failed', logTimeMs)
   }
 
-  /** A value of any member of a gang counts for all, and all start from the same one. */
-  #keepCheckpoint (stepSpec: StepSpec, step: StepRecord, task: TaskRecord, checkpoint: string): void {
+  /** A checkpoint of any gang member applies to all members, which must start from the same one. */
+  #saveCheckpoint (stepSpec: StepSpec, step: StepRecord, task: TaskRecord, checkpoint: string): void {
     if (checkpoint === '') return
     for (const member of stepSpec.isGang ? step.tasks : [task]) member.checkpoint = checkpoint
   }
@@ -281,13 +281,13 @@
     for (const run of [...this.runsOf(life.workerId)]) {
       if (run.incarnation <= life.incarnation) this.#removeRun(run)
     }
-    for (const { taskKey, checkpoint } of checkpoints) this.#adoptCheckpoint({ taskKey, checkpoint })
+    for (const { taskKey, checkpoint } of checkpoints) this.#restoreCheckpoint({ taskKey, checkpoint })
     return { kind: 'applied' }
   }
 
-  #adoptCheckpoint ({ taskKey, checkpoint }: TaskCheckpoint): void {
-    const located = this.locate(taskKey)
-    if (located !== undefined) this.#keepCheckpoint(located.stepSpec, located.step, located.task, checkpoint)
+  #restoreCheckpoint ({ taskKey, checkpoint }: TaskCheckpoint): void {
+    const context = this.findTask(taskKey)
+    if (context !== undefined) this.#saveCheckpoint(context.stepSpec, context.step, context.task, checkpoint)
   }
 
   #startWave ({ wave, startedWallMs }: CommandOf<'start_wave'>): CommandResult {
@@ -303,8 +303,8 @@
     return { kind: 'applied' }
   }
 
-  /** Runs of an earlier life of the worker ended with it. */
-  #enterLife ({ workerId, incarnation }: WorkerLife): void {
+  /** Records a newer incarnation of the worker; the runs of earlier ones ended with these and are removed. */
+  #advanceIncarnation ({ workerId, incarnation }: WorkerIncarnation): void {
     const record = this.#workers.get(workerId)
     if (record !== undefined && record.incarnation >= incarnation) return
     this.#workers.set(workerId, { incarnation, lastEndSequence: 0 })
@@ -320,8 +320,8 @@
     this.#endedJobs.push(job)
   }
 
-  /** Runs of an ended job keep it known until they are off their workers. */
-  #dropOldJobs (logTimeMs: number): void {
+  /** Removes jobs that ended longer ago than the retention. */
+  #removeExpiredJobs (logTimeMs: number): void {
     let first = this.#endedJobs[0]
     while (first !== undefined && logTimeMs - first.endedLogMs > this.#endedJobRetentionMs) {
       this.#jobs.delete(first.spec.jobId)
@@ -330,21 +330,21 @@
     }
   }
 
-  #index (assignment: Assignment): void {
-    const runs = this.#runs.get(assignment.workerId) ?? new Map<string, Assignment>()
-    runs.set(runKey(assignment), assignment)
-    this.#runs.set(assignment.workerId, runs)
-    const located = this.#find(assignment.taskKey)
-    if (located !== undefined) this.#located.set(assignment.taskKey, located)
+  #indexRun (assignment: Assignment): void {
+    const runs = this.#runsByWorker.get(assignment.workerId) ?? new Map<string, Assignment>()
+    runs.set(assignmentKey(assignment), assignment)
+    this.#runsByWorker.set(assignment.workerId, runs)
+    const context = this.#lookUpTask(assignment.taskKey)
+    if (context !== undefined) this.#activeTasks.set(assignment.taskKey, context)
   }
 
   #removeRun (assignment: Assignment): boolean {
-    const runs = this.#runs.get(assignment.workerId)
-    if (runs === undefined || !runs.delete(runKey(assignment))) return false
-    if (runs.size === 0) this.#runs.delete(assignment.workerId)
-    const task = this.locate(assignment.taskKey)?.task
+    const runs = this.#runsByWorker.get(assignment.workerId)
+    if (runs === undefined || !runs.delete(assignmentKey(assignment))) return false
+    if (runs.size === 0) this.#runsByWorker.delete(assignment.workerId)
+    const task = this.findTask(assignment.taskKey)?.task
     if (task !== undefined) task.active = task.active.filter(active => !isSameRun(active, assignment))
-    if (task === undefined || task.active.length === 0) this.#located.delete(assignment.taskKey)
+    if (task === undefined || task.active.length === 0) this.#activeTasks.delete(assignment.taskKey)
     return true
   }
 }
@@ -355,21 +355,21 @@
 }
 
 /**
- * Key of a run within one life of a worker.
+ * Key of a run of a task; unique within one incarnation of a worker.
  *
  * @example
  * runInLife({ taskKey: '5c0e.0.0.0', run: 2 }) // '5c0e.0.0.0#2'
  */
-export function runInLife ({ taskKey, run }: Pick<Assignment, 'taskKey' | 'run'>): string {
+export function taskRunKey ({ taskKey, run }: Pick<Assignment, 'taskKey' | 'run'>): string {
   return `${taskKey}#${run}`
 }
 
 /**
- * Key of a run on a worker.
+ * Key of a run on one incarnation of a worker.
  *
  * @example
  * runKey({ taskKey: '5c0e.0.0.0', run: 2, workerId: 'w1', incarnation: 9 }) // '5c0e.0.0.0#2@9'
  */
-export function runKey ({ taskKey, run, incarnation }: Assignment): string {
-  return `${runInLife({ taskKey, run })}@${incarnation}`
+export function assignmentKey ({ taskKey, run, incarnation }: Assignment): string {
+  return `${taskRunKey({ taskKey, run })}@${incarnation}`
 }
--- a/packages/batch/src/commands.ts
+++ b/packages/batch/src/commands.ts
@@ -1,20 +1,20 @@
-/** Commands of the replicated state; placement is decided by the leader and recorded with its result. */
+/** Commands of the replicated state. The leader decides on placement, and commands record only the result. */
 import type { JobSpec } from './jobs.js'
 import type { QueueDocument } from './queues.js'
 
-/** One life of a worker; a worker that starts again under its old ID has a later incarnation. */
-export interface WorkerLife {
+/** One incarnation of a worker; a worker that restarts under the same ID has a later one. */
+export interface WorkerIncarnation {
   readonly workerId: string
-  /** Unix time of the start of this life. */
+  /** Unix time at which this incarnation started. */
   readonly incarnation: number
 }
 
 /** How a run ended on its worker. */
 export type EndReason = 'done' | 'failed' | 'stopped' | 'lapsed' | 'broken' | 'alone' | 'refused'
 
-/** An end as the worker lists it. */
+/** The end of a run as its worker reports it. */
 export interface RunEnd {
-  /** Number of the end in this life of the worker. */
+  /** Number of the end; increases within this incarnation of the worker. */
   readonly sequence: number
   readonly taskKey: string
   readonly run: number
@@ -22,19 +22,19 @@
   readonly checkpoint: string
 }
 
-/** A run given to a worker. */
-export interface Assignment extends WorkerLife {
+/** A run assigned to one incarnation of a worker. */
+export interface Assignment extends WorkerIncarnation {
   readonly taskKey: string
   readonly run: number
 }
 
-/** The latest checkpoint that was seen of a task. */
+/** The latest reported checkpoint of a task. */
 export interface TaskCheckpoint {
   readonly taskKey: string
   readonly checkpoint: string
 }
 
-/** A rolling restart of VMs that an operator asked for. */
+/** A rolling restart of VMs that an operator requested; all of it should be done within `durationMs`. */
 export interface MaintenanceWave {
   readonly waveId: string
   readonly vmIds: readonly string[]
@@ -54,16 +54,16 @@
   }
   | { readonly kind: 'cancel_job', readonly jobId: string }
   | { readonly kind: 'assign', readonly assignments: readonly Assignment[] }
-  | { readonly kind: 'record_ends', readonly life: WorkerLife, readonly ends: readonly RunEnd[] }
-  /** The run is certainly not on its worker. */
+  | { readonly kind: 'record_ends', readonly life: WorkerIncarnation, readonly ends: readonly RunEnd[] }
+  /** Removes runs that are certainly not on their workers. */
   | { readonly kind: 'release', readonly runs: readonly Assignment[] }
-  /** Nothing of this life runs any more: it crashed, left, or its lease has run out. */
-  | { readonly kind: 'worker_gone', readonly life: WorkerLife, readonly checkpoints: readonly TaskCheckpoint[] }
+  /** No run of this incarnation is active any more: it crashed, left, or its lease expired. */
+  | { readonly kind: 'worker_gone', readonly life: WorkerIncarnation, readonly checkpoints: readonly TaskCheckpoint[] }
   | { readonly kind: 'start_wave', readonly wave: MaintenanceWave, readonly startedWallMs: number }
-  /** The platform has begun the maintenance of a VM, or there is none to do. */
+  /** The platform has begun the maintenance of a VM, or the VM needs none. */
   | { readonly kind: 'maintenance_done', readonly waveId: string, readonly vmId: string }
 
-/** What a command did. */
+/** Effect of a command on the state. */
 export type CommandResult =
   | { readonly kind: 'applied' }
   | { readonly kind: 'unchanged' }
--- a/packages/batch/src/disruption-budget.ts
+++ b/packages/batch/src/disruption-budget.ts
@@ -1,48 +1,49 @@
-/** How many tasks of a lasting step our own orders may keep away from work at once. */
-import type { BatchState, LocatedTask } from './batch-state.js'
+/** Limits how many tasks of a lasting step the leader's own stop orders make unavailable at once. */
+import type { BatchState, TaskContext } from './batch-state.js'
 import type { Assignment } from './commands.js'
 import { stepKeyOf } from './jobs.js'
 import { FULL_PROGRESS_PERCENT } from './worker-messages.js'
-import type { WorkerTable } from './worker-registry.js'
+import type { WorkerRegistry } from './worker-registry.js'
 
-/** Looks at the lasting tasks of all workers. */
-export class LastingAvailability {
+/** Applies `maxUnavailable` of lasting steps, from the reports of all workers. */
+export class DisruptionBudget {
   readonly #state: BatchState
-  readonly #workers: WorkerTable
+  readonly #registry: WorkerRegistry
   readonly #isStopping: (run: Assignment) => boolean
 
-  constructor (state: BatchState, workers: WorkerTable, isStopping: (run: Assignment) => boolean) {
+  constructor (state: BatchState, registry: WorkerRegistry, isStopping: (run: Assignment) => boolean) {
     this.#state = state
-    this.#workers = workers
+    this.#registry = registry
     this.#isStopping = isStopping
   }
 
   /**
-   * Whether an order may end this run: always, unless it is at work and as many others of its step are away as may be.
+   * Whether a stop order may end this run. It may not where the run is available and as many other tasks of its step as
+   * allowed are unavailable already.
    *
    * @example
-   * if (availability.maySpare(run)) orders.stop(run)
+   * if (budget.allowsStop(run)) orders.stop(run)
    */
-  maySpare (run: Assignment): boolean {
-    const located = this.#state.locate(run.taskKey)
-    const maxUnavailable = located?.stepSpec.maxUnavailable
-    if (located === undefined || maxUnavailable === undefined || !this.#isAtWork(run)) return true
-    return this.#countAway(located, run) < maxUnavailable
+  allowsStop (run: Assignment): boolean {
+    const context = this.#state.findTask(run.taskKey)
+    const maxUnavailable = context?.stepSpec.maxUnavailable
+    if (context === undefined || maxUnavailable === undefined || !this.#isAvailable(run)) return true
+    return this.#countOtherUnavailableTasks(context, run) < maxUnavailable
   }
 
-  #countAway ({ step }: LocatedTask, run: Assignment): number {
+  #countOtherUnavailableTasks ({ step }: TaskContext, run: Assignment): number {
     const stepKey = stepKeyOf(run.taskKey)
-    let away = 0
+    let unavailable = 0
     step.tasks.forEach((task, index) => {
       const taskKey = `${stepKey}.${index}`
       if (taskKey === run.taskKey) return
-      if (!task.active.some(active => this.#isAtWork({ ...active, taskKey }))) away++
+      if (!task.active.some(active => this.#isAvailable({ ...active, taskKey }))) unavailable++
     })
-    return away
+    return unavailable
   }
 
-  #isAtWork (run: Assignment): boolean {
-    const row = this.#workers.view(run.workerId)?.rowOf(run.taskKey, run.run)
-    return row !== undefined && row.percent >= FULL_PROGRESS_PERCENT && !this.#isStopping(run)
+  #isAvailable (run: Assignment): boolean {
+    const task = this.#registry.view(run.workerId)?.runningTask(run.taskKey, run.run)
+    return task !== undefined && task.percent >= FULL_PROGRESS_PERCENT && !this.#isStopping(run)
   }
 }
--- a/packages/batch/src/evictions.ts
+++ b/packages/batch/src/evictions.ts
@@ -1,86 +1,89 @@
-/** Runs that are taken off their workers before these leave or because they stand still. */
+/** Evictions of runs from workers that leave, from VMs before their maintenance, and of runs that have stalled. */
 import type { BatchState } from './batch-state.js'
 import type { Assignment } from './commands.js'
-import { occupyingRuns, type OccupyingRun } from './worker-capacity.js'
+import { listOccupyingRuns, type OccupyingRun } from './worker-capacity.js'
 import type { BatchSettings } from './settings.js'
 import { FULL_PROGRESS_PERCENT } from './worker-messages.js'
 import type { WorkerView } from './worker-view.js'
 
-/** Why a run is taken off its worker. */
-export type EvacuationReason = 'worker_leaving' | 'stalled' | 'maintenance'
+/** Why a run is evicted. */
+export type EvictionReason = 'worker_leaving' | 'stalled' | 'maintenance'
 
-/** A run to stop. */
-export interface Evacuation {
+/** A run to evict, with the figures behind the decision for the log. */
+export interface Eviction {
   readonly run: Assignment
-  readonly reason: EvacuationReason
-  /** Time without progress of a stalled run, and progress at its last change. */
+  readonly reason: EvictionReason
+  /** For a stalled run: time without progress, and its latest progress. */
   readonly unchangedMs?: number
   readonly percent?: number
-  /** Expected time to its end, and what is left of a leaving worker's time. */
+  /** For a leaving worker: estimated remaining run time, and time until the worker is gone. */
   readonly remainingMs?: number
   readonly workerRemainingMs?: number
 }
 
 /**
- * Chooses runs that cannot end where they are. Work that is saved moves at once; work that would be lost stays while
- * the worker may yet live long enough for it.
+ * Chooses the runs of a worker that have stalled, or that cannot end before the worker leaves. Checkpointing and
+ * lasting runs move at once. A run whose work would be lost stays while the worker may still live long enough.
  *
  * @example
- * for (const { run } of planEvacuation(state, view, settings, nowMs)) orders.stop(run)
+ * for (const { run } of planEvictions(state, view, settings, nowMs)) orders.stop(run)
  */
-export function planEvacuation (
+export function planEvictions (
   state: BatchState, view: WorkerView, settings: BatchSettings, nowMs: number
-): Evacuation[] {
+): Eviction[] {
   const isLeaving = view.latest.state === 'leaving'
-  // Most workers have nothing that stands still, and looking at every run of a large fleet is costly.
+  // Most workers have no stalled run, and looking at every run of a large fleet is costly.
   if (!isLeaving && view.runsUnchangedSince(nowMs - settings.stalledAfterMs).length === 0) return []
-  const runs = occupyingRuns(state, view, () => false, nowMs)
+  const runs = listOccupyingRuns(state, view, () => false, nowMs)
   if (isLeaving) {
-    return runs.filter(run => mustMove(run, view.latest.remainingMs, settings)).map(run => leaving(run, view))
+    return runs
+      .filter(run => cannotEndInTime(run, view.latest.remainingMs, settings))
+      .map(run => evictFromLeavingWorker(run, view))
   }
-  return runs.filter(run => isStalled(run, view, settings, nowMs)).map(run => stalled(run, view, nowMs))
+  return runs.filter(run => isStalled(run, view, settings, nowMs)).map(run => evictStalled(run, view, nowMs))
 }
 
 /**
- * Chooses runs that move off a VM before its maintenance: saved work, and lasting tasks, of which the caller stops only
- * as many as their steps can spare. Other work stays while it may end.
+ * Chooses the runs that move off a VM before its maintenance: checkpointing runs and lasting tasks, of which the caller
+ * evicts only as many as their disruption budget allows. Other runs stay, since they may still end in time.
  */
-export function planEmptying (state: BatchState, view: WorkerView, nowMs: number): Evacuation[] {
-  return occupyingRuns(state, view, () => false, nowMs)
+export function planDrain (state: BatchState, view: WorkerView, nowMs: number): Eviction[] {
+  return listOccupyingRuns(state, view, () => false, nowMs)
     .filter(({ spec }) => spec.isLasting || spec.isCheckpointing)
     .map(({ assignment }) => ({ run: assignment, reason: 'maintenance' }))
 }
 
-function leaving ({ assignment, remainingMs }: OccupyingRun, view: WorkerView): Evacuation {
+function evictFromLeavingWorker ({ assignment, remainingMs }: OccupyingRun, view: WorkerView): Eviction {
   return { run: assignment, reason: 'worker_leaving', remainingMs, workerRemainingMs: view.latest.remainingMs }
 }
 
-function stalled ({ assignment }: OccupyingRun, view: WorkerView, nowMs: number): Evacuation {
+function evictStalled ({ assignment }: OccupyingRun, view: WorkerView, nowMs: number): Eviction {
   const { taskKey, run } = assignment
   const unchangedMs = view.unchangedMs(taskKey, run, nowMs)
-  return { run: assignment, reason: 'stalled', unchangedMs, percent: view.rowOf(taskKey, run)?.percent }
+  return { run: assignment, reason: 'stalled', unchangedMs, percent: view.runningTask(taskKey, run)?.percent }
 }
 
-function mustMove (run: OccupyingRun, timeLeftMs: number | undefined, settings: BatchSettings): boolean {
-  if (timeLeftMs === undefined) return false
+function cannotEndInTime (run: OccupyingRun, workerRemainingMs: number | undefined, settings: BatchSettings): boolean {
+  if (workerRemainingMs === undefined) return false
   const { spec, remainingMs } = run
-  if (spec.isLasting || spec.isCheckpointing) return remainingMs > timeLeftMs
-  return remainingMs > timeLeftMs + settings.leavingGraceMs
+  if (spec.isLasting || spec.isCheckpointing) return remainingMs > workerRemainingMs
+  return remainingMs > workerRemainingMs + settings.leavingGraceMs
 }
 
 function isStalled (run: OccupyingRun, view: WorkerView, settings: BatchSettings, nowMs: number): boolean {
   const { spec, assignment: { taskKey, run: runNumber } } = run
   if (spec.isLasting || spec.isFiller) return false
-  // Members of a gang end together, so a fast one waits with all its work done.
-  if (spec.isGang && (view.rowOf(taskKey, runNumber)?.percent ?? 0) >= FULL_PROGRESS_PERCENT) return false
+  // Gang members end together, so a fast member waits at full progress for the others.
+  if (spec.isGang && (view.runningTask(taskKey, runNumber)?.percent ?? 0) >= FULL_PROGRESS_PERCENT) return false
   const unchangedMs = view.unchangedMs(taskKey, runNumber, nowMs)
-  return unchangedMs !== undefined && unchangedMs >= stallLimitMs(run, settings)
+  return unchangedMs !== undefined && unchangedMs >= stallTimeoutMs(run, settings)
 }
 
-/** Members of a gang do not work before all are present, and long work shows its progress more slowly. */
-function stallLimitMs ({ spec }: OccupyingRun, settings: BatchSettings): number {
-  return settings.stalledAfterMs + (spec.isGang ? settings.gangWaitMs : 0) + spec.estimateMs * STALL_ESTIMATE_SHARE
+/** Gang members make no progress until all are present, and the percentage of a long run changes less often. */
+function stallTimeoutMs ({ spec }: OccupyingRun, settings: BatchSettings): number {
+  return settings.stalledAfterMs + (spec.isGang ? settings.gangWaitMs : 0) +
+    spec.estimateMs * STALL_TIMEOUT_ESTIMATE_SHARE
 }
 
-/** Share of the estimated run time without progress that even a much slower worker does not need for one percent. */
-const STALL_ESTIMATE_SHARE = 0.1
+/** Share of the estimated run time; even a much slower worker makes one percent of progress within it. */
+const STALL_TIMEOUT_ESTIMATE_SHARE = 0.1
--- a/packages/batch/src/guarantee-coverage.ts
+++ b/packages/batch/src/guarantee-coverage.ts
@@ -1,26 +1,26 @@
-/** Which urgent jobs the guarantees of their organisations cover. */
+/** Decides which urgent jobs are covered by the guarantees of their organisations. */
 import type { BatchState } from './batch-state.js'
 import type { JobRecord } from './job-record.js'
 
-/** Accelerators that the open jobs of priority 0 of each organisation need, against its guarantee. */
-export class GuaranteeLedger {
+/** Compares the accelerators that each organisation's open jobs of priority 0 need with its guarantee. */
+export class GuaranteeCoverage {
   readonly #state: BatchState
-  readonly #neededByOrganisation = new Map<string, number>()
+  readonly #demandByOrganisation = new Map<string, number>()
 
   constructor (state: BatchState) {
     this.#state = state
     for (const job of state.openJobs()) {
       if (!this.#isUrgent(job)) continue
-      const needed = this.#neededByOrganisation.get(job.organisation) ?? 0
-      this.#neededByOrganisation.set(job.organisation, needed + widestStepAccelerators(job))
+      const demand = this.#demandByOrganisation.get(job.organisation) ?? 0
+      this.#demandByOrganisation.set(job.organisation, demand + peakAccelerators(job))
     }
   }
 
-  /** Whether all urgent jobs of the job's organisation fit into its guarantee. */
+  /** Whether the job is urgent and all urgent jobs of its organisation fit into the guarantee. */
   covers (job: JobRecord): boolean {
     if (!this.#isUrgent(job)) return false
     const guaranteed = this.#state.directory?.guaranteedAccelerators(job.organisation) ?? 0
-    return (this.#neededByOrganisation.get(job.organisation) ?? 0) <= guaranteed
+    return (this.#demandByOrganisation.get(job.organisation) ?? 0) <= guaranteed
   }
 
   #isUrgent (job: JobRecord): boolean {
@@ -28,6 +28,6 @@
   }
 }
 
-function widestStepAccelerators (job: JobRecord): number {
+function peakAccelerators (job: JobRecord): number {
   return Math.max(0, ...job.spec.steps.map(step => step.taskCount * step.shape.acceleratorCount))
 }
--- a/packages/batch/src/job-record.ts
+++ b/packages/batch/src/job-record.ts
@@ -1,9 +1,9 @@
 /** Replicated records of jobs, steps and tasks. */
 import { occurrenceCount, type JobSpec, type JobState, type StepSpec } from './jobs.js'
-import type { WorkerLife } from './commands.js'
+import type { WorkerIncarnation } from './commands.js'
 
-/** A run that may be on a worker. */
-export interface ActiveRun extends WorkerLife {
+/** A run that may still be on its worker. */
+export interface ActiveRun extends WorkerIncarnation {
   readonly run: number
 }
 
@@ -13,7 +13,7 @@
   failures: number
   isDone: boolean
   checkpoint: string
-  /** Workers on which it failed, newest last. */
+  /** Workers on which the task failed, newest last. */
   failedOn: string[]
   active: ActiveRun[]
 }
@@ -21,24 +21,24 @@
 /** One step of an occurrence. */
 export interface StepRecord {
   tasks: TaskRecord[]
-  /** The latest run of a gang that counted as a failure, so that each run counts once. */
+  /** Latest failed run of a gang, so that failures of several members in one run count once. */
   lastFailedRun: number
 }
 
-/** One occurrence of a job. */
+/** One occurrence of a job's schedule; a job without a schedule has one. */
 export interface OccurrenceRecord {
   steps: StepRecord[]
 }
 
-/** A job that was accepted. */
+/** An accepted job. */
 export interface JobRecord {
   readonly spec: JobSpec
   readonly queueAddress: string
-  /** Service of the queue at the latest configuration that had it. */
+  /** Service of the queue in the latest configuration that contained the queue. */
   service: string
   readonly organisation: string
   readonly acceptedWallMs: number
-  /** Log time of the end, for retention; 0 while the job is open. */
+  /** Log time at which the job ended, for its retention; 0 while the job is open. */
   endedLogMs: number
   state: 'open' | 'completed' | 'failed' | 'cancelled'
   hasStarted: boolean
@@ -53,7 +53,7 @@
   return { ...fields, endedLogMs: 0, state: 'open', hasStarted: false, occurrences }
 }
 
-/** Creates the record of an occurrence of which nothing has started. */
+/** Creates the record of an occurrence without any run. */
 export function createOccurrence (spec: JobSpec): OccurrenceRecord {
   return { steps: spec.steps.map(createStep) }
 }
@@ -76,7 +76,7 @@
   return job.occurrences.every(occurrence => occurrence?.steps.every(isStepDone) ?? false)
 }
 
-/** State as callers see it. */
+/** State as shown to callers. */
 export function visibleState (job: JobRecord): JobState {
   if (job.state !== 'open') return job.state
   return job.hasStarted ? 'running' : 'queued'
--- a/packages/batch/src/jobs.ts
+++ b/packages/batch/src/jobs.ts
@@ -1,17 +1,17 @@
-/** Jobs of several steps, as callers submit them. */
+/** Jobs as callers submit them: steps of identical tasks, with dependencies between steps. */
 
-/** What one task takes from a worker. */
+/** Resources of one task, or of a worker. */
 export interface TaskShape {
   readonly cpuMillicores: number
   readonly memoryMb: number
   readonly acceleratorCount: number
 }
 
-/** Processor cores that one accelerator counts for where work is compared. */
+/** One accelerator counts as this many processor cores where amounts of work are compared. */
 const CORES_PER_ACCELERATOR = 8
 
 /**
- * Size of a task in cores, accelerators included.
+ * Size of a task in core equivalents, accelerators included.
  *
  * @example
  * coresOf({ cpuMillicores: 2_500, memoryMb: 512, acceleratorCount: 1 }) // 10.5
@@ -20,18 +20,18 @@
   return cpuMillicores / 1_000 + acceleratorCount * CORES_PER_ACCELERATOR
 }
 
-/** A set of like tasks of a job. */
+/** A step of a job: a set of identical tasks. */
 export interface StepSpec {
   readonly taskCount: number
   readonly shape: TaskShape
   /** The caller's rough estimate of the run time of one task. */
   readonly estimateMs: number
-  /** Numbers of earlier steps whose tasks must all be done first. */
+  /** Indexes of earlier steps whose tasks must all be done first. */
   readonly dependsOn: readonly number[]
   readonly isCheckpointing: boolean
-  /** The tasks run only together and end together. */
+  /** Gang scheduling: the tasks start together, and none ends before the others. */
   readonly isGang: boolean
-  /** The tasks are much slower when they are spread over racks. */
+  /** The tasks run several times slower when they are spread over racks. */
   readonly isSameRack: boolean
   /** Label that the worker must have; empty for none. */
   readonly requiredLabel: string
@@ -39,20 +39,20 @@
   readonly dataRack: string
   /** At most this many tasks of one occurrence on one worker; 0 for no limit. */
   readonly maxTasksPerWorker: number
-  /** Copies of a task may run at once, and the first to end counts. */
+  /** Several runs of a task may be active at once, and the first to end counts. */
   readonly isSpeculative: boolean
-  /** The tasks run until the job is cancelled. */
+  /** Long-running service: the tasks run until the job is cancelled, and are restarted however they end. */
   readonly isLasting: boolean
   readonly image: string
-  /** Tail latency that the users of a lasting task expect; 0 for none. */
+  /** Tail latency that users expect of a lasting task; 0 for none. */
   readonly targetLatencyMs: number
-  /** The tasks use only processor time that others leave, which is not counted against the worker. */
+  /** Best-effort tasks: they use only spare processor time, which does not count against the worker's capacity. */
   readonly isFiller: boolean
-  /** Tasks of a lasting step that may be away at once through our own orders; undefined for no limit. */
+  /** Most tasks of a lasting step that stop orders may make unavailable at once; undefined for no limit. */
   readonly maxUnavailable?: number
 }
 
-/** Times at which the steps of a job run again. */
+/** Times at which a job recurs. */
 export interface JobSchedule {
   /** Unix time of the first occurrence. */
   readonly firstDueMs: number
@@ -63,13 +63,13 @@
 /** A job as submitted. */
 export interface JobSpec {
   readonly jobId: string
-  /** Handed to the worker with each task, uninterpreted. */
+  /** Passed to the worker with each task; the scheduler does not interpret it. */
   readonly payload: string
   readonly steps: readonly StepSpec[]
   readonly schedule?: JobSchedule
 }
 
-/** State of a job that callers see. */
+/** State of a job as shown to callers. */
 export type JobState = 'queued' | 'running' | 'completed' | 'failed' | 'cancelled'
 
 /** Position of a task. */
@@ -91,7 +91,7 @@
 }
 
 /**
- * Reads a key back; undefined for text that is no key.
+ * Parses a task key; undefined where the text is none.
  *
  * @example
  * parseTaskKey('5c0e.0.1.17')?.index // 17
@@ -119,7 +119,7 @@
 }
 
 /**
- * The step of a task's key.
+ * The step key that a task key contains.
  *
  * @example
  * stepKeyOf('5c0e.0.1.17') // '5c0e.0.1'
@@ -129,7 +129,7 @@
 }
 
 /**
- * The job of a key of a task or step.
+ * The job ID that a task key or step key contains.
  *
  * @example
  * jobIdOf('5c0e.0.1.17') // '5c0e'
@@ -138,12 +138,12 @@
   return key.slice(0, key.indexOf('.'))
 }
 
-/** How many times the steps of a job run. */
+/** Number of occurrences of a job; 1 without a schedule. */
 export function occurrenceCount (spec: JobSpec): number {
   return spec.schedule?.occurrences ?? 1
 }
 
-/** Unix time at which an occurrence may start; 0 without a schedule. */
+/** Unix time from which an occurrence may start; 0 without a schedule. */
 export function occurrenceDueMs (spec: JobSpec, occurrence: number): number {
   const { schedule } = spec
   return schedule === undefined ? 0 : schedule.firstDueMs + occurrence * schedule.intervalMs
--- a/packages/batch/src/leader.ts
+++ b/packages/batch/src/leader.ts
@@ -1,25 +1,25 @@
-/** The batch leader: heartbeats, orders and operations on top of the replicated state. */
+/** The batch leader: handles heartbeats and operations, and schedules runs, on top of the replicated state. */
 import type { Clock, EventLog, Metrics } from '@comfreygrade/core'
-import { AdviceBook, type Ticket } from './advice-tickets.js'
-import { runKey, type BatchState } from './batch-state.js'
+import { TicketCache, type Ticket } from './advice-tickets.js'
+import { assignmentKey, type BatchState } from './batch-state.js'
 import type { Assignment, BatchCommand, CommandResult } from './commands.js'
 import { jobIdOf } from './jobs.js'
-import { planEmptying, planEvacuation, type Evacuation } from './evictions.js'
-import { waitingKey } from './worker-selection.js'
-import { LastingAvailability } from './disruption-budget.js'
+import { planDrain, planEvictions, type Eviction } from './evictions.js'
+import { waitingStepKey } from './worker-selection.js'
+import { DisruptionBudget } from './disruption-budget.js'
 import { MaintenancePlanner, type MaintenanceAnswer, type MaintenanceCall } from './maintenance.js'
 import { OperationHandler, type ProposalOutcome } from './operation-handler.js'
 import type { BatchOperation, BatchResult } from './operations.js'
-import { OrderBook } from './order-planner.js'
-import { ObjectiveOrder } from './scheduling-order.js'
+import { OrderPlanner } from './order-planner.js'
+import { ObjectiveSchedulingOrder } from './scheduling-order.js'
 import { ReportHandler } from './report-handler.js'
 import { BatchScheduler, type Reclaim } from './scheduler.js'
 import type { BatchSettings } from './settings.js'
 import type { WaitingStep } from './waiting-steps.js'
 import type { WorkerOrders, WorkerReport } from './worker-messages.js'
-import { WorkerTable } from './worker-registry.js'
+import { WorkerRegistry } from './worker-registry.js'
 
-/** What the leader is told. */
+/** Input of the leader. */
 export type LeaderEvent =
   | { readonly kind: 'operation', readonly requestId: string, readonly operation: BatchOperation }
   | { readonly kind: 'report', readonly requestId: string, readonly report: WorkerReport }
@@ -35,7 +35,7 @@
   | { readonly kind: 'maintenance_answered', readonly call: MaintenanceCall, readonly answer: MaintenanceAnswer }
   | { readonly kind: 'tick' }
 
-/** What the leader asks its adapters to do. */
+/** Output of the leader, which its adapters carry out. */
 export type LeaderEffect =
   | { readonly kind: 'propose', readonly proposalId: string, readonly command: BatchCommand }
   | { readonly kind: 'reply', readonly requestId: string, readonly result: BatchResult }
@@ -53,13 +53,13 @@
   readonly log: EventLog
 }
 
-/** Passes take at most one part in this number of the leader's time, so that heartbeats are answered in time. */
-const PASS_TIME_FACTOR = 4
-/** Interval of the checks of silent, leaving and stalled workers and of maintenance. */
-const FLEET_CHECK_MS = 100
+/** The interval between passes is at least this multiple of their duration, so that heartbeats are answered in time. */
+const MIN_PASS_INTERVAL_FACTOR = 4
+/** Interval between checks for silent, leaving and stalled workers and for due maintenance. */
+const FLEET_CHECK_INTERVAL_MS = 100
 
 /**
- * Decides for one term. All times are monotonic milliseconds of the clock that was passed in.
+ * Leader of one term: a state machine from events to effects. All times are monotonic milliseconds of the given clock.
  *
  * @example
  * const leader = new BatchLeader({ term, state, settings, clock, metrics, log })
@@ -67,15 +67,15 @@
  */
 export class BatchLeader {
   readonly #options: BatchLeaderOptions
-  readonly #workers: WorkerTable
-  readonly #orders: OrderBook
-  readonly #advice: AdviceBook
+  readonly #registry: WorkerRegistry
+  readonly #orders: OrderPlanner
+  readonly #tickets: TicketCache
   readonly #scheduler: BatchScheduler
   readonly #maintenance: MaintenancePlanner
-  readonly #availability: LastingAvailability
+  readonly #disruptionBudget: DisruptionBudget
   readonly #operations: OperationHandler
   readonly #reports: ReportHandler
-  readonly #proposals = new Map<string, (outcome: ProposalOutcome) => void>()
+  readonly #pendingProposals = new Map<string, (outcome: ProposalOutcome) => void>()
   #effects: LeaderEffect[] = []
   #proposalCount = 0
   #isAssigning = false
@@ -86,79 +86,79 @@
   constructor (options: BatchLeaderOptions) {
     const { state, settings, clock, log } = options
     this.#options = options
-    this.#workers = new WorkerTable(state, settings, clock, log)
-    this.#advice = new AdviceBook(clock)
-    this.#orders = new OrderBook({ state, settings, clock, advice: this.#advice, fencingToken: options.term })
-    this.#scheduler = new BatchScheduler(settings, clock, new ObjectiveOrder())
+    this.#registry = new WorkerRegistry(state, settings, clock, log)
+    this.#tickets = new TicketCache(clock)
+    this.#orders = new OrderPlanner({ state, settings, clock, tickets: this.#tickets, fencingToken: options.term })
+    this.#scheduler = new BatchScheduler(settings, clock, new ObjectiveSchedulingOrder())
     this.#operations = new OperationHandler({
       ...options,
-      workers: this.#workers,
-      propose: (command, settled) => { this.#propose(command, settled) },
+      registry: this.#registry,
+      propose: (command, onSettled) => { this.#propose(command, onSettled) },
       reply: (requestId, result) => { this.#effects.push({ kind: 'reply', requestId, result }) }
     })
     this.#reports = new ReportHandler({
       ...options,
-      workers: this.#workers,
+      registry: this.#registry,
       orders: this.#orders,
-      propose: (command, settled) => { this.#propose(command, settled) },
+      propose: (command, onSettled) => { this.#propose(command, onSettled) },
       reply: (requestId, orders) => { this.#effects.push({ kind: 'reply_worker', requestId, orders }) },
-      passNeeded: () => { this.#isPassDue = true },
+      requestPass: () => { this.#isPassDue = true },
       isPassPending: () => this.#isPassDue || this.#isAssigning
     })
-    this.#availability = new LastingAvailability(state, this.#workers, run => this.#orders.isStopping(run))
+    this.#disruptionBudget = new DisruptionBudget(state, this.#registry, run => this.#orders.isStopping(run))
     this.#maintenance = new MaintenancePlanner({
-      state, workers: this.#workers, settings, clock, log, maySpare: run => this.#availability.maySpare(run)
+      state, registry: this.#registry, settings, clock, log, allowsStop: run => this.#disruptionBudget.allowsStop(run)
     })
   }
 
-  /** Runs one event to its end and returns what the adapters have to do. */
+  /** Handles one event and returns the effects for the adapters to carry out, in order. */
   handle (event: LeaderEvent): LeaderEffect[] {
     this.#effects = []
     switch (event.kind) {
       case 'operation': this.#operations.handle(event.requestId, event.operation); break
       case 'report': this.#reports.receive(event.requestId, event.report); break
-      case 'worker_left': this.#reports.workerLeft(event.requestId, event.workerId); break
+      case 'worker_left': this.#reports.handleWorkerLeft(event.requestId, event.workerId); break
       case 'applied': this.#settle(event.proposalId, { kind: 'applied', result: event.result }); break
       case 'rejected': this.#settle(event.proposalId, { kind: 'rejected', isCertain: event.isCertain }); break
-      case 'advice': this.#adviceAnswered(event); break
-      case 'maintenance_answered': this.#maintenanceAnswered(event.call, event.answer); break
+      case 'advice': this.#handleAdvice(event); break
+      case 'maintenance_answered': this.#handleMaintenanceAnswer(event.call, event.answer); break
       case 'tick': this.#isPassDue = true; break
     }
     this.#checkFleetIfDue()
-    this.#passIfDue()
-    this.#reports.answerDue()
+    this.#runPassIfDue()
+    this.#reports.answerDueReports()
     return this.#effects
   }
 
-  /** Milliseconds until the next `tick`. */
+  /** Milliseconds until the next `tick` event is due. */
   nextTickMs (): number {
-    return this.#isPassDue ? this.#options.settings.passIntervalMs : FLEET_CHECK_MS
+    return this.#isPassDue ? this.#options.settings.passIntervalMs : FLEET_CHECK_INTERVAL_MS
   }
 
   // Scheduling
 
-  #passIfDue (): void {
+  #runPassIfDue (): void {
     const nowMs = this.#options.clock.monotonicMs()
     if (!this.#isPassDue || this.#isAssigning) return
     if (nowMs < this.#nextPassMs) return
     this.#isPassDue = false
-    const decision = this.#scheduler.pass(this.#options.state, {
-      views: this.#workers.views(),
-      isUsable: view => this.#workers.isUsable(view) && !this.#maintenance.isCordoned(view),
+    const decision = this.#scheduler.runPass(this.#options.state, {
+      views: this.#registry.views(),
+      isSchedulable: view => this.#registry.isSchedulable(view) && !this.#maintenance.isCordoned(view),
       isStopping: run => this.#orders.isStopping(run),
-      permittedWorkers: key => this.#advice.permittedWorkers(key)
+      permittedWorkers: key => this.#tickets.permittedWorkers(key)
     })
-    for (const step of decision.needPermission) this.#askAdvice(step)
+    for (const step of decision.stepsNeedingTickets) this.#requestAdvice(step)
     for (const reclaim of decision.reclaims) this.#reclaim(reclaim)
     this.#assign(decision.assignments)
-    const tookMs = this.#options.clock.monotonicMs() - nowMs
-    this.#nextPassMs = nowMs + Math.max(this.#options.settings.passIntervalMs, tookMs * PASS_TIME_FACTOR)
+    const durationMs = this.#options.clock.monotonicMs() - nowMs
+    this.#nextPassMs = nowMs + Math.max(this.#options.settings.passIntervalMs, durationMs * MIN_PASS_INTERVAL_FACTOR)
   }
 
   #reclaim ({ run, forStepKey, lostCoreSeconds }: Reclaim): void {
     const { taskKey, workerId } = run
     this.#options.metrics.increment('run.reclaimed')
-    this.#options.log.info('run is reclaimed', {
+    this.#options.log.info('run reclaimed', {
       taskKey, run: run.run, workerId, forStepKey, lostCoreSeconds: Math.round(lostCoreSeconds)
     })
     this.#orders.stop(run)
@@ -168,106 +168,105 @@
     if (assignments.length === 0) return
     this.#isAssigning = true
     const workerIds = [...new Set(assignments.map(assignment => assignment.workerId))]
-    for (const workerId of workerIds) this.#reports.markBusy(workerId, 1)
+    for (const workerId of workerIds) this.#reports.adjustCommandsInFlight(workerId, 1)
     this.#propose({ kind: 'assign', assignments }, outcome => {
       this.#isAssigning = false
       this.#isPassDue = true
-      for (const workerId of workerIds) this.#reports.assigned(workerId)
+      for (const workerId of workerIds) this.#reports.finishAssignment(workerId)
       if (outcome.kind === 'rejected') return
-      for (const assignment of assignments) this.#assigned(assignment)
+      for (const assignment of assignments) this.#recordAssigned(assignment)
     })
   }
 
-  #assigned (assignment: Assignment): void {
+  #recordAssigned (assignment: Assignment): void {
     const { clock, log, state } = this.#options
     const { taskKey, run, workerId } = assignment
-    const view = this.#workers.view(workerId)
-    view?.assignedInTerm.add(runKey(assignment))
+    const view = this.#registry.view(workerId)
+    view?.assignedInTerm.add(assignmentKey(assignment))
     log.info('run assigned', {
       taskKey,
       run,
       workerId,
       reportSequence: view?.latest.sequence,
-      reportAgeMs: view === undefined ? undefined : Math.round(clock.monotonicMs() - view.heardAtMs),
+      reportAgeMs: view === undefined ? undefined : Math.round(clock.monotonicMs() - view.reportedAtMs),
       configurationVersion: state.directory?.document.version
     })
   }
 
-  #askAdvice (step: WaitingStep): void {
-    const key = waitingKey(step)
-    const workerIds = this.#workers.adviceCandidates(step).slice(0, this.#options.settings.maxAdviceWorkers)
-    if (workerIds.length === 0 || !this.#advice.startAsking(key)) return
+  #requestAdvice (step: WaitingStep): void {
+    const key = waitingStepKey(step)
+    const workerIds = this.#registry.adviceCandidates(step).slice(0, this.#options.settings.maxAdviceWorkers)
+    if (workerIds.length === 0 || !this.#tickets.tryStartRequest(key)) return
     this.#effects.push({ kind: 'ask_advice', stepKey: key, workerIds })
   }
 
-  #adviceAnswered ({ stepKey: key, tickets, askedAtMs }: Extract<LeaderEvent, { kind: 'advice' }>): void {
+  #handleAdvice ({ stepKey: key, tickets, askedAtMs }: Extract<LeaderEvent, { kind: 'advice' }>): void {
     const job = this.#options.state.job(jobIdOf(key))
     const queue = job === undefined ? undefined : this.#options.state.directory?.at(job.queueAddress)
     const validMs = queue?.advice?.ticketValidMs ?? 0
     this.#options.log.info('advice answered', { stepKey: key, granted: tickets?.length ?? null })
-    this.#advice.answered(key, tickets, this.#workers.incarnations(), validMs, askedAtMs)
+    this.#tickets.completeRequest(key, tickets, this.#registry.incarnations(), validMs, askedAtMs)
     this.#isPassDue = true
   }
 
-  /** Runs after any event, since a timer that every event restarts would never fire under load. */
+  /** Called after every event, since a timer that each event restarts would never fire under load. */
   #checkFleetIfDue (): void {
     const nowMs = this.#options.clock.monotonicMs()
-    if (nowMs - this.#lastFleetCheckMs < FLEET_CHECK_MS) return
+    if (nowMs - this.#lastFleetCheckMs < FLEET_CHECK_INTERVAL_MS) return
     this.#lastFleetCheckMs = nowMs
     this.#isPassDue = true
-    this.#reports.releaseExpired()
-    this.#evacuate()
-    this.#maintain()
-    this.#advice.retain(jobId => this.#options.state.job(jobId)?.state === 'open')
-    this.#orders.forgetEnded()
-    this.#reports.forgetOld()
+    this.#reports.releaseExpiredWorkers()
+    this.#evictRuns()
+    this.#beginDueMaintenance()
+    this.#tickets.retainOpenJobs(jobId => this.#options.state.job(jobId)?.state === 'open')
+    this.#orders.removeCompletedStops()
+    this.#reports.removeStale()
   }
 
-  /** Takes work off workers on which it cannot end. */
-  #evacuate (): void {
+  #evictRuns (): void {
     const { state, settings, clock } = this.#options
-    for (const view of this.#workers.views()) this.#takeOff(planEvacuation(state, view, settings, clock.monotonicMs()))
-    for (const view of this.#maintenance.cordonedViews()) this.#empty(planEmptying(state, view, clock.monotonicMs()))
+    for (const view of this.#registry.views()) this.#evict(planEvictions(state, view, settings, clock.monotonicMs()))
+    for (const view of this.#maintenance.cordonedViews()) this.#drain(planDrain(state, view, clock.monotonicMs()))
   }
 
-  #empty (evacuations: readonly Evacuation[]): void {
-    // Each stop counts when the next one is judged.
-    for (const evacuation of evacuations) if (this.#availability.maySpare(evacuation.run)) this.#takeOff([evacuation])
+  #drain (evictions: readonly Eviction[]): void {
+    // Each eviction uses up the budget before the next one is checked.
+    for (const eviction of evictions) if (this.#disruptionBudget.allowsStop(eviction.run)) this.#evict([eviction])
   }
 
-  #takeOff (evacuations: readonly Evacuation[]): void {
-    for (const { run, ...inputs } of evacuations) {
+  #evict (evictions: readonly Eviction[]): void {
+    for (const { run, ...details } of evictions) {
       if (this.#orders.isStopping(run)) continue
       const { taskKey, workerId } = run
-      this.#options.log.info('run is taken off its worker', { taskKey, run: run.run, workerId, ...inputs })
+      this.#options.log.info('run evicted', { taskKey, run: run.run, workerId, ...details })
       this.#orders.stop(run)
     }
   }
 
-  #maintain (): void {
+  #beginDueMaintenance (): void {
     for (const call of this.#maintenance.dueCalls()) {
       this.#effects.push({ kind: 'begin_maintenance', call, fencingToken: this.#options.term })
     }
   }
 
-  /** The maintenance counts only once the platform has confirmed it. */
-  #maintenanceAnswered (call: MaintenanceCall, answer: MaintenanceAnswer): void {
-    if (!this.#maintenance.answered(call, answer)) return
+  /** Maintenance is recorded only once the platform has confirmed it. */
+  #handleMaintenanceAnswer (call: MaintenanceCall, answer: MaintenanceAnswer): void {
+    if (!this.#maintenance.recordAnswer(call, answer)) return
     this.#propose({ kind: 'maintenance_done', ...call }, () => {})
   }
 
   // Proposals
 
-  #propose (command: BatchCommand, settled: (outcome: ProposalOutcome) => void): void {
+  #propose (command: BatchCommand, onSettled: (outcome: ProposalOutcome) => void): void {
     const proposalId = `${this.#options.term}-${++this.#proposalCount}`
-    this.#proposals.set(proposalId, settled)
+    this.#pendingProposals.set(proposalId, onSettled)
     this.#effects.push({ kind: 'propose', proposalId, command })
   }
 
   #settle (proposalId: string, outcome: ProposalOutcome): void {
-    const settled = this.#proposals.get(proposalId)
-    this.#proposals.delete(proposalId)
-    settled?.(outcome)
+    const onSettled = this.#pendingProposals.get(proposalId)
+    this.#pendingProposals.delete(proposalId)
+    onSettled?.(outcome)
     if (outcome.kind === 'applied') this.#isPassDue = true
   }
 }
--- a/packages/batch/src/maintenance.ts
+++ b/packages/batch/src/maintenance.ts
@@ -1,55 +1,55 @@
-/** Waves of maintenance: each VM restarts in time, few at once, and its work is moved first. */
+/** Maintenance waves: VMs are cordoned, drained and restarted, a few at a time, within the wave's duration. */
 import type { Clock, EventLog } from '@comfreygrade/core'
 import type { BatchState, WaveRecord } from './batch-state.js'
 import type { Assignment } from './commands.js'
 import type { BatchSettings } from './settings.js'
-import type { WorkerTable } from './worker-registry.js'
+import type { WorkerRegistry } from './worker-registry.js'
 import type { WorkerView } from './worker-view.js'
 
-/** What the platform said to a maintenance of one VM. */
+/** The platform's answer to a call that begins the maintenance of one VM. */
 export type MaintenanceAnswer =
   | 'begun'
-  /** The VM is not up, or it leaves. */
+  /** The VM is not up, or is leaving. */
   | 'busy'
-  /** There is no such VM, or it is not of the wave. */
+  /** There is no such VM, or it is not part of the wave. */
   | 'not_applicable'
   /** Another node has used a higher fencing token. */
   | 'fenced'
   | 'failed'
 
-/** A VM whose maintenance is due. */
+/** A call to the platform to begin the maintenance of one VM. */
 export interface MaintenanceCall {
   readonly waveId: string
   readonly vmId: string
 }
 
-interface VmProgress {
+interface VmDrain {
   cordonedAtMs: number
-  isCalling: boolean
-  /** No call before this time. */
-  notBeforeMs: number
+  isCallPending: boolean
+  /** Earliest time of the next call. */
+  nextCallAtMs: number
 }
 
 /** Options of {@link MaintenancePlanner}. */
 export interface MaintenancePlannerOptions {
   readonly state: BatchState
-  readonly workers: WorkerTable
-  /** Whether an order may end the run, as far as its step allows. */
-  readonly maySpare: (run: Assignment) => boolean
+  readonly registry: WorkerRegistry
+  /** Whether the disruption budget of the run's step allows to stop it. */
+  readonly allowsStop: (run: Assignment) => boolean
   readonly settings: BatchSettings
   readonly clock: Clock
   readonly log: EventLog
 }
 
-/** A call that failed or found the VM busy is repeated after this time. */
-const RETRY_MS = 500
+/** Delay before a call is repeated that failed or found the VM busy. */
+const CALL_RETRY_MS = 500
 
-/** Plans the waves of one term. */
+/** Plans the maintenance calls of one term. */
 export class MaintenancePlanner {
   readonly #options: MaintenancePlannerOptions
   readonly #termStartedAtMs: number
-  readonly #vms = new Map<string, VmProgress>()
-  /** VMs whose maintenance has begun in this term, with the time at which they are back at the latest. */
+  readonly #drains = new Map<string, VmDrain>()
+  /** VMs whose maintenance has begun in this term, with the latest time at which they are back. */
   readonly #downUntilMs = new Map<string, number>()
   #isFenced = false
 
@@ -58,78 +58,78 @@
     this.#termStartedAtMs = options.clock.monotonicMs()
   }
 
-  /** Whether a worker gets no new runs because its VM is next. */
+  /** Whether a worker gets no new runs because its VM is being drained for maintenance. */
   isCordoned (view: WorkerView): boolean {
-    return this.#vms.has(view.latest.vmId)
+    return this.#drains.has(view.latest.vmId)
   }
 
-  /** Workers whose runs should move now, since their VM is next. */
+  /** Views of the workers on cordoned VMs, whose runs should move now. */
   cordonedViews (): WorkerView[] {
-    return this.#vms.size === 0 ? [] : [...this.#options.workers.views()].filter(view => this.isCordoned(view))
+    return this.#drains.size === 0 ? [] : [...this.#options.registry.views()].filter(view => this.isCordoned(view))
   }
 
-  /** Calls that are due; a new leader waits until calls of an earlier one can no longer be under way. */
+  /** Returns the calls that are due. A new leader waits until no call of an earlier leader can be in progress. */
   dueCalls (): MaintenanceCall[] {
     const nowMs = this.#options.clock.monotonicMs()
     if (this.#isFenced || nowMs - this.#termStartedAtMs < this.#options.settings.orderLeaseMs) return []
     const calls: MaintenanceCall[] = []
     for (const record of this.#options.state.waves()) {
-      this.#cordonNext(record, nowMs)
-      for (const vmId of this.#openVms(record)) {
-        const progress = this.#vms.get(vmId)
-        if (progress === undefined || progress.isCalling || nowMs < progress.notBeforeMs) continue
-        if (!this.#isReady(record, vmId, progress, nowMs)) continue
-        progress.isCalling = true
+      this.#cordonNextVms(record, nowMs)
+      for (const vmId of this.#remainingVms(record)) {
+        const drain = this.#drains.get(vmId)
+        if (drain === undefined || drain.isCallPending || nowMs < drain.nextCallAtMs) continue
+        if (!this.#isReadyForMaintenance(record, vmId, drain, nowMs)) continue
+        drain.isCallPending = true
         calls.push({ waveId: record.wave.waveId, vmId })
       }
     }
     return calls
   }
 
-  /** Takes the platform's answer; returns whether the maintenance of the VM counts as begun. */
-  answered ({ waveId, vmId }: MaintenanceCall, answer: MaintenanceAnswer): boolean {
+  /** Records the platform's answer; returns whether the maintenance of the VM counts as done. */
+  recordAnswer ({ waveId, vmId }: MaintenanceCall, answer: MaintenanceAnswer): boolean {
     const nowMs = this.#options.clock.monotonicMs()
     this.#options.log.info('maintenance call answered', { waveId, vmId, answer })
-    const progress = this.#vms.get(vmId)
-    if (progress !== undefined) Object.assign(progress, { isCalling: false, notBeforeMs: nowMs + RETRY_MS })
+    const drain = this.#drains.get(vmId)
+    if (drain !== undefined) Object.assign(drain, { isCallPending: false, nextCallAtMs: nowMs + CALL_RETRY_MS })
     if (answer === 'fenced') this.#isFenced = true
     if (answer !== 'begun' && answer !== 'not_applicable') return false
-    this.#vms.delete(vmId)
+    this.#drains.delete(vmId)
     if (answer === 'begun') this.#downUntilMs.set(vmId, nowMs + this.#options.settings.maintenanceDownMs)
     return true
   }
 
-  #openVms ({ wave, done }: WaveRecord): string[] {
+  #remainingVms ({ wave, done }: WaveRecord): string[] {
     return wave.vmIds.filter(vmId => !done.includes(vmId))
   }
 
-  /** As many VMs as may be down at once are emptied at a time. */
-  #cordonNext (record: WaveRecord, nowMs: number): void {
+  /** Cordons VMs while fewer than the wave's `maxConcurrent` are cordoned or down. */
+  #cordonNextVms (record: WaveRecord, nowMs: number): void {
     const { wave } = record
-    const open = this.#openVms(record)
+    const remaining = this.#remainingVms(record)
     const down = wave.vmIds.filter(vmId => (this.#downUntilMs.get(vmId) ?? -Infinity) > nowMs).length
-    const cordoned = open.filter(vmId => this.#vms.has(vmId)).length
-    const free = wave.maxConcurrent - down - cordoned
-    for (const vmId of open.filter(candidate => !this.#vms.has(candidate)).slice(0, Math.max(0, free))) {
-      this.#vms.set(vmId, { cordonedAtMs: nowMs, isCalling: false, notBeforeMs: nowMs })
-      this.#options.log.info('VM is emptied for maintenance', { waveId: wave.waveId, vmId })
+    const cordoned = remaining.filter(vmId => this.#drains.has(vmId)).length
+    const available = wave.maxConcurrent - down - cordoned
+    for (const vmId of remaining.filter(candidate => !this.#drains.has(candidate)).slice(0, Math.max(0, available))) {
+      this.#drains.set(vmId, { cordonedAtMs: nowMs, isCallPending: false, nextCallAtMs: nowMs })
+      this.#options.log.info('VM cordoned for maintenance', { waveId: wave.waveId, vmId })
     }
   }
 
-  #isReady (record: WaveRecord, vmId: string, progress: VmProgress, nowMs: number): boolean {
-    const view = [...this.#options.workers.views()].find(candidate => candidate.latest.vmId === vmId)
+  #isReadyForMaintenance (record: WaveRecord, vmId: string, drain: VmDrain, nowMs: number): boolean {
+    const view = [...this.#options.registry.views()].find(candidate => candidate.latest.vmId === vmId)
     const runs = view === undefined ? [] : [...this.#options.state.runsOf(view.latest.workerId)]
     if (runs.length === 0) return true
-    // A late wave is better than too many tasks of a lasting step away at once.
-    return nowMs - progress.cordonedAtMs >= this.#patienceMs(record) && runs.every(run => this.#options.maySpare(run))
+    // A late wave is better than exceeding the disruption budget of a lasting step.
+    return nowMs - drain.cordonedAtMs >= this.#maxDrainMs(record) && runs.every(run => this.#options.allowsStop(run))
   }
 
-  /** Time for one VM: what is left of the wave, shared by the VMs that follow one another. */
-  #patienceMs (record: WaveRecord): number {
+  /** Longest wait for the runs of one VM: the remaining time of the wave, divided among the remaining rounds of VMs. */
+  #maxDrainMs (record: WaveRecord): number {
     const { wave, startedWallMs } = record
-    const leftMs = startedWallMs + wave.durationMs - this.#options.clock.wallMs()
-    const rounds = Math.ceil(this.#openVms(record).length / wave.maxConcurrent)
-    const perRoundMs = leftMs / Math.max(1, rounds) - this.#options.settings.maintenanceDownMs
-    return Math.min(this.#options.settings.maxMaintenancePatienceMs, Math.max(0, perRoundMs))
+    const waveRemainingMs = startedWallMs + wave.durationMs - this.#options.clock.wallMs()
+    const rounds = Math.ceil(this.#remainingVms(record).length / wave.maxConcurrent)
+    const perRoundMs = waveRemainingMs / Math.max(1, rounds) - this.#options.settings.maintenanceDownMs
+    return Math.min(this.#options.settings.maxMaintenanceDrainMs, Math.max(0, perRoundMs))
   }
 }
--- a/packages/batch/src/operation-handler.ts
+++ b/packages/batch/src/operation-handler.ts
@@ -1,4 +1,4 @@
-/** Operations of callers and operators: what is answered from the state and what is proposed to the log. */
+/** Operations of callers and operators: queries are answered from the state, changes are proposed to the log. */
 import { fail, succeed, type Clock, type EventLog, type Failure, type Metrics } from '@comfreygrade/core'
 import type { BatchState } from './batch-state.js'
 import type { BatchCommand, CommandResult, MaintenanceWave } from './commands.js'
@@ -6,33 +6,33 @@
 import type { JobSpec } from './jobs.js'
 import type { BatchOperation, BatchResult, QueueRequest } from './operations.js'
 import { queueAddress, validateDocument, type QueueConfiguration } from './queues.js'
-import type { WorkerTable } from './worker-registry.js'
+import type { WorkerRegistry } from './worker-registry.js'
 
-/** What becomes of a proposal when its command is applied or rejected. */
+/** Outcome of a proposed command. */
 export type ProposalOutcome =
   | { readonly kind: 'applied', readonly result: CommandResult }
-  /** `isCertain` where it can never take effect. */
+  /** `isCertain` where the command can never take effect; otherwise it may still be applied. */
   | { readonly kind: 'rejected', readonly isCertain: boolean }
 
 /** Options of {@link OperationHandler}. */
 export interface OperationHandlerOptions {
   readonly state: BatchState
-  readonly workers: WorkerTable
+  readonly registry: WorkerRegistry
   readonly clock: Clock
   readonly metrics: Metrics
   readonly log: EventLog
-  readonly propose: (command: BatchCommand, settled: (outcome: ProposalOutcome) => void) => void
+  readonly propose: (command: BatchCommand, onSettled: (outcome: ProposalOutcome) => void) => void
   readonly reply: (requestId: string, result: BatchResult) => void
 }
 
-/** The queue, job and organisation that a request names. */
+/** The queue, job and organisation that a request refers to; `jobId` is empty where it names only the queue. */
 interface ResolvedRequest {
   readonly queue: QueueConfiguration
   readonly jobId: string
   readonly organisation: string
 }
 
-/** Answers operations on the leader. */
+/** Handles the operations that reach the leader. */
 export class OperationHandler {
   readonly #options: OperationHandlerOptions
 
@@ -40,23 +40,23 @@
     this.#options = options
   }
 
-  /** Answers an operation, at once or when its command is committed. */
+  /** Answers an operation, either at once or after its command is committed. */
   handle (requestId: string, operation: BatchOperation): void {
     switch (operation.kind) {
       case 'submit': return this.#submit(requestId, operation.request, operation.spec)
-      case 'job_state': return this.#answerState(requestId, operation.request)
+      case 'job_state': return this.#answerJobState(requestId, operation.request)
       case 'cancel': return this.#cancel(requestId, operation.request)
       case 'put_configuration': return this.#putConfiguration(requestId, operation)
-      case 'get_configuration': return this.#getConfiguration(requestId)
+      case 'get_configuration': return this.#answerConfiguration(requestId)
       case 'start_wave': return this.#startWave(requestId, operation.wave)
-      case 'wave_state': return this.#waveState(requestId, operation.waveId)
+      case 'wave_state': return this.#answerWaveState(requestId, operation.waveId)
     }
   }
 
   #submit (requestId: string, request: QueueRequest, fields: Omit<JobSpec, 'jobId'>): void {
-    const address = this.#resolve(request)
-    if ('kind' in address) return this.#refuse(requestId, address)
-    const { queue, jobId, organisation } = address
+    const resolved = this.#resolve(request)
+    if ('kind' in resolved) return this.#refuse(requestId, resolved)
+    const { queue, jobId, organisation } = resolved
     if (jobId === '') return this.#refuse(requestId, { kind: 'invalid_request', detail: 'the path names no job' })
     if (this.#options.state.job(jobId) !== undefined) return this.#accept(requestId)
     const spec = { ...fields, jobId }
@@ -80,35 +80,35 @@
   }
 
   #cancel (requestId: string, request: QueueRequest): void {
-    const address = this.#resolve(request)
-    if ('kind' in address) return this.#refuse(requestId, address)
-    const job = this.#options.state.job(address.jobId)
-    if (job === undefined) return this.#refuse(requestId, unknownJob(address.jobId))
+    const resolved = this.#resolve(request)
+    if ('kind' in resolved) return this.#refuse(requestId, resolved)
+    const job = this.#options.state.job(resolved.jobId)
+    if (job === undefined) return this.#refuse(requestId, unknownJob(resolved.jobId))
     if (job.state !== 'open') return this.#accept(requestId)
-    this.#options.propose({ kind: 'cancel_job', jobId: address.jobId }, outcome => {
-      this.#options.log.info('job cancelled', { jobId: address.jobId, outcome: outcome.kind })
+    this.#options.propose({ kind: 'cancel_job', jobId: resolved.jobId }, outcome => {
+      this.#options.log.info('job cancelled', { jobId: resolved.jobId, outcome: outcome.kind })
       this.#answerProposal(requestId, outcome)
     })
   }
 
-  #answerState (requestId: string, request: QueueRequest): void {
-    const address = this.#resolve(request)
-    if ('kind' in address) return this.#refuse(requestId, address)
-    const { queue, jobId } = address
+  #answerJobState (requestId: string, request: QueueRequest): void {
+    const resolved = this.#resolve(request)
+    if ('kind' in resolved) return this.#refuse(requestId, resolved)
+    const { queue, jobId } = resolved
     if (jobId === '') {
       const pendingJobs = this.#countPending(queueAddress(queue))
       return this.#reply(requestId, succeed({ kind: 'queue', pendingJobs }))
     }
     const job = this.#options.state.job(jobId)
     if (job === undefined) return this.#refuse(requestId, unknownJob(jobId))
-    const isRunning = job.state === 'open' && this.#options.workers.hasStarted(jobId)
+    const isRunning = job.state === 'open' && this.#options.registry.hasStarted(jobId)
     this.#reply(requestId, succeed({ kind: 'job_state', state: isRunning ? 'running' : visibleState(job) }))
   }
 
   #countPending (address: string): number {
     let count = 0
     for (const job of this.#options.state.openJobs()) {
-      if (job.queueAddress === address && !job.hasStarted && !this.#options.workers.hasStarted(job.spec.jobId)) count++
+      if (job.queueAddress === address && !job.hasStarted && !this.#options.registry.hasStarted(job.spec.jobId)) count++
     }
     return count
   }
@@ -136,7 +136,7 @@
     })
   }
 
-  #getConfiguration (requestId: string): void {
+  #answerConfiguration (requestId: string): void {
     const { directory } = this.#options.state
     if (directory === null) return this.#refuse(requestId, { kind: 'no_configuration', detail: 'no configuration yet' })
     this.#reply(requestId, succeed({ kind: 'configuration', source: directory.document.source }))
@@ -148,7 +148,7 @@
     this.#options.propose({ kind: 'start_wave', wave, startedWallMs }, outcome => { this.#answerProposal(requestId, outcome) })
   }
 
-  #waveState (requestId: string, waveId: string): void {
+  #answerWaveState (requestId: string, waveId: string): void {
     const record = this.#options.state.wave(waveId)
     if (record === undefined) {
       return this.#refuse(requestId, { kind: 'unknown_wave', detail: `wave ${waveId} is not known` })
--- a/packages/batch/src/operations.ts
+++ b/packages/batch/src/operations.ts
@@ -12,7 +12,7 @@
   readonly apiKey?: string
 }
 
-/** What a front end asks of the leader. */
+/** An operation that a front end sends to the leader. */
 export type BatchOperation =
   | { readonly kind: 'submit', readonly request: QueueRequest, readonly spec: Omit<JobSpec, 'jobId'> }
   | { readonly kind: 'job_state', readonly request: QueueRequest }
@@ -22,7 +22,7 @@
   | { readonly kind: 'start_wave', readonly wave: MaintenanceWave }
   | { readonly kind: 'wave_state', readonly waveId: string }
 
-/** What an operation yields. */
+/** Result of a successful operation. */
 export type BatchAnswer =
   | { readonly kind: 'accepted' }
   | { readonly kind: 'job_state', readonly state: JobState }
@@ -30,5 +30,4 @@
   | { readonly kind: 'configuration', readonly source: string }
   | { readonly kind: 'wave', readonly state: 'running' | 'completed' }
 
-/** Answer or failure. */
 export type BatchResult = Result<BatchAnswer>
--- a/packages/batch/src/order-planner.ts
+++ b/packages/batch/src/order-planner.ts
@@ -1,7 +1,7 @@
-/** Orders for workers: what the answer to a heartbeat has to say. */
+/** Orders for workers, which are sent in the answers to their heartbeats. */
 import type { Clock } from '@comfreygrade/core'
-import type { AdviceBook } from './advice-tickets.js'
-import { runInLife, runKey, type BatchState, type LocatedTask } from './batch-state.js'
+import type { TicketCache } from './advice-tickets.js'
+import { taskRunKey, assignmentKey, type BatchState, type TaskContext } from './batch-state.js'
 import type { Assignment } from './commands.js'
 import { stepKeyOf } from './jobs.js'
 import { FillerPacing } from './filler-pacing.js'
@@ -9,120 +9,120 @@
 import type { StartOrder, StopOrder, WorkerOrders } from './worker-messages.js'
 import type { WorkerView } from './worker-view.js'
 
-/** Options of {@link OrderBook}. */
-export interface OrderBookOptions {
+/** Options of {@link OrderPlanner}. */
+export interface OrderPlannerOptions {
   readonly state: BatchState
   readonly settings: BatchSettings
   readonly clock: Clock
-  readonly advice: AdviceBook
+  readonly tickets: TicketCache
   readonly fencingToken: number
 }
 
 /**
- * Derives orders from the replicated runs and the latest heartbeat. A run that was offered in the answer to one
- * heartbeat and is not listed in a later one did not arrive, since a worker has one heartbeat under way at a time.
+ * Derives orders from the replicated runs and a worker's latest report. A worker has one heartbeat in flight at a time,
+ * so where a start order was sent in the answer to one heartbeat and a later report lacks the run, the order was lost.
  */
-export class OrderBook {
-  readonly #options: OrderBookOptions
+export class OrderPlanner {
+  readonly #options: OrderPlannerOptions
   readonly #termStartedAtMs: number
   readonly #pacing: FillerPacing
-  /** Runs that this leader wants off their workers though their jobs are open. */
+  /** Runs that this leader stops though their jobs are open. */
   readonly #stopping = new Map<string, Assignment>()
 
-  constructor (options: OrderBookOptions) {
+  constructor (options: OrderPlannerOptions) {
     this.#options = options
     this.#termStartedAtMs = options.clock.monotonicMs()
     this.#pacing = new FillerPacing(options.state)
   }
 
-  /** Takes a run off its worker, with all members of its gang; the tasks wait again afterwards. */
+  /** Stops a run and all members of its gang; their tasks wait for workers again afterwards. */
   stop (run: Assignment): void {
-    for (const member of this.#withGang(run)) this.#stopping.set(runKey(member), member)
+    for (const member of this.#gangRuns(run)) this.#stopping.set(assignmentKey(member), member)
   }
 
-  #withGang (run: Assignment): Assignment[] {
-    const located = this.#options.state.locate(run.taskKey)
-    if (located === undefined || !located.stepSpec.isGang) return [run]
+  #gangRuns (run: Assignment): Assignment[] {
+    const context = this.#options.state.findTask(run.taskKey)
+    if (context === undefined || !context.stepSpec.isGang) return [run]
     const prefix = stepKeyOf(run.taskKey)
-    return located.step.tasks.flatMap((task, index) => task.active
+    return context.step.tasks.flatMap((task, index) => task.active
       .filter(active => active.run === run.run)
       .map(active => ({ ...active, taskKey: `${prefix}.${index}` })))
   }
 
-  /** Whether a run is on its way off its worker. */
+  /** Whether a run is being stopped. */
   isStopping (run: Assignment): boolean {
-    if (this.#stopping.has(runKey(run))) return true
-    const located = this.#options.state.locate(run.taskKey)
-    return located === undefined || !isWanted(located, run.run)
+    if (this.#stopping.has(assignmentKey(run))) return true
+    const context = this.#options.state.findTask(run.taskKey)
+    return context === undefined || !shouldRun(context, run.run)
   }
 
-  /** Forgets stops that are complete. */
-  forgetEnded (): void {
+  /** Removes the stops of runs that have ended. */
+  removeCompletedStops (): void {
     for (const [key, run] of this.#stopping) {
-      const isKnown = [...this.#options.state.runsOf(run.workerId)].some(active => runKey(active) === key)
+      const isKnown = [...this.#options.state.runsOf(run.workerId)].some(active => assignmentKey(active) === key)
       if (!isKnown) this.#stopping.delete(key)
     }
   }
 
-  /** Whether any run may have reached this life of the worker; assignments that no answer has carried have not. */
+  /** Whether any run may have reached this incarnation of the worker; runs without a sent start order have not. */
   mayHoldRuns (view: WorkerView): boolean {
-    return this.#runsOf(view).some(run => !this.#wasNeverOffered(view, run))
+    return this.#runsOf(view).some(run => !this.#isUnsent(view, run))
   }
 
-  /** Runs that are not wanted and that the worker certainly does not have. */
-  certainlyAbsent (view: WorkerView): Assignment[] {
+  /** Runs being stopped that the worker certainly does not have. */
+  confirmedAbsentRuns (view: WorkerView): Assignment[] {
     return this.#runsOf(view).filter(run =>
-      this.isStopping(run) && !isListed(view, run) && (this.#wasNeverOffered(view, run) || this.#isMissing(view, run)))
+      this.isStopping(run) && !isReported(view, run) && (this.#isUnsent(view, run) || this.#isMissing(view, run)))
   }
 
-  /** The answer to the latest heartbeat of a worker. */
+  /** The orders that answer the latest heartbeat of a worker. */
   ordersFor (view: WorkerView): Omit<WorkerOrders, 'nextReportMs'> {
     const { state, settings, fencingToken } = this.#options
     const { latest } = view
-    const isExtended = view.leaseCertainty !== 'uncertain'
-    if (isExtended) view.granted(settings.leaseMs)
+    const isExtended = view.leaseStatus !== 'uncertain'
+    if (isExtended) view.recordLeaseGrant(settings.leaseMs)
     return {
       ...(isExtended ? { leaseMs: settings.leaseMs } : {}),
       recordedEndSequence: state.lastEndSequence(latest),
       fencingToken,
-      starts: isExtended ? this.#starts(view) : [],
-      stops: this.#stops(view),
+      starts: isExtended ? this.#startOrders(view) : [],
+      stops: this.#stopOrders(view),
       paces: this.#pacing.ordersFor(view)
     }
   }
 
-  #starts (view: WorkerView): StartOrder[] {
+  #startOrders (view: WorkerView): StartOrder[] {
     const starts: StartOrder[] = []
     for (const run of this.#runsOf(view)) {
-      if (this.isStopping(run) || isListed(view, run)) continue
-      if (!this.#wasNeverOffered(view, run) && !this.#isMissing(view, run)) continue
-      const order = this.#startOrder(run)
+      if (this.isStopping(run) || isReported(view, run)) continue
+      if (!this.#isUnsent(view, run) && !this.#isMissing(view, run)) continue
+      const order = this.#createStartOrder(run)
       if (order === undefined) continue
-      view.offeredAt.set(runKey(run), view.latest.sequence)
+      view.startSentAtSequence.set(assignmentKey(run), view.latest.sequence)
       starts.push(order)
     }
     return starts
   }
 
-  #startOrder (run: Assignment): StartOrder | undefined {
-    const { state, advice } = this.#options
-    const located = state.locate(run.taskKey)
-    if (located === undefined) return undefined
-    const { job, task } = located
+  #createStartOrder (run: Assignment): StartOrder | undefined {
+    const { state, tickets } = this.#options
+    const context = state.findTask(run.taskKey)
+    if (context === undefined) return undefined
+    const { job, task } = context
     const order = { taskKey: run.taskKey, run: run.run, payload: job.spec.payload, checkpoint: task.checkpoint }
     if (state.directory?.at(job.queueAddress)?.advice === undefined) return order
     const key = stepKeyOf(run.taskKey)
-    const ticket = advice.ticketFor(key, run.workerId, run.incarnation)
+    const ticket = tickets.ticketFor(key, run.workerId, run.incarnation)
     if (ticket !== undefined) return { ...order, ticket }
     this.stop(run)
     return undefined
   }
 
-  #stops (view: WorkerView): StopOrder[] {
-    const known = new Map(this.#runsOf(view).map(run => [runInLife(run), run]))
+  #stopOrders (view: WorkerView): StopOrder[] {
+    const known = new Map(this.#runsOf(view).map(run => [taskRunKey(run), run]))
     const stops: StopOrder[] = []
     for (const { taskKey, run } of view.latest.running) {
-      const active = known.get(runInLife({ taskKey, run }))
+      const active = known.get(taskRunKey({ taskKey, run }))
       if (active === undefined || this.isStopping(active)) stops.push({ taskKey, run })
     }
     return stops
@@ -133,34 +133,34 @@
     return [...this.#options.state.runsOf(workerId)].filter(run => run.incarnation === incarnation)
   }
 
-  /** An assignment of this term that no answer has carried yet. */
-  #wasNeverOffered (view: WorkerView, run: Assignment): boolean {
-    return view.assignedInTerm.has(runKey(run)) && !view.offeredAt.has(runKey(run))
+  /** Whether this is an assignment of this term whose start order was not sent yet. */
+  #isUnsent (view: WorkerView, run: Assignment): boolean {
+    return view.assignedInTerm.has(assignmentKey(run)) && !view.startSentAtSequence.has(assignmentKey(run))
   }
 
   #isMissing (view: WorkerView, run: Assignment): boolean {
-    // A run that is being stopped is neither listed as running nor as ended yet.
-    if (view.seen.has(runInLife(run))) return false
-    const offeredAt = view.offeredAt.get(runKey(run))
-    if (offeredAt !== undefined) return view.latest.sequence > offeredAt
-    if (this.#isInheritanceSettled()) view.offeredAt.set(runKey(run), view.latest.sequence)
+    // While a worker stops a run, it reports it neither as running nor as ended.
+    if (view.reportedRuns.has(taskRunKey(run))) return false
+    const sentAtSequence = view.startSentAtSequence.get(assignmentKey(run))
+    if (sentAtSequence !== undefined) return view.latest.sequence > sentAtSequence
+    if (this.#isInheritedRunGraceOver()) view.startSentAtSequence.set(assignmentKey(run), view.latest.sequence)
     return false
   }
 
-  /** Answers of an earlier leader may still be on their way at the start of a term. */
-  #isInheritanceSettled (): boolean {
+  /** At the start of a term, answers of an earlier leader may still be in flight. */
+  #isInheritedRunGraceOver (): boolean {
     return this.#options.clock.monotonicMs() - this.#termStartedAtMs >= this.#options.settings.inheritedRunGraceMs
   }
 }
 
-/** A gang that has lost a member cannot go on, and its other members must not wait for it. */
-function isWanted ({ job, stepSpec, step, task }: LocatedTask, run: number): boolean {
+/** Whether a run should continue. A gang that has lost a member cannot, and its other members must not wait for it. */
+function shouldRun ({ job, stepSpec, step, task }: TaskContext, run: number): boolean {
   if (job.state !== 'open' || task.isDone) return false
   return !stepSpec.isGang || step.tasks.every(member => member.active.some(active => active.run === run))
 }
 
-function isListed (view: WorkerView, { taskKey, run }: Assignment): boolean {
+function isReported (view: WorkerView, { taskKey, run }: Assignment): boolean {
   const { running, ends } = view.latest
-  return running.some(row => row.taskKey === taskKey && row.run === run) ||
+  return running.some(task => task.taskKey === taskKey && task.run === run) ||
     ends.some(end => end.taskKey === taskKey && end.run === run)
 }
--- a/packages/batch/src/pending-reports.ts
+++ b/packages/batch/src/pending-reports.ts
@@ -1,75 +1,76 @@
-/** Heartbeats that wait for their answers. */
+/** Reports that wait for their answers. */
 import type { Clock } from '@comfreygrade/core'
 import type { BatchSettings } from './settings.js'
 import type { WorkerView } from './worker-view.js'
 
-/** A heartbeat that waits for its answer. */
-export interface OpenReport {
+/** A report that waits for its answer. */
+export interface PendingReport {
   readonly requestId: string
-  /** View of the sender, also where the leader has forgotten it meanwhile. */
+  /** View of the sender; it may have been removed from the registry meanwhile. */
   readonly view: WorkerView
   readonly receivedAtMs: number
 }
 
-/** Options of {@link ReportDesk}. */
-export interface ReportDeskOptions {
+/** Options of {@link PendingReports}. */
+export interface PendingReportsOptions {
   readonly settings: BatchSettings
   readonly clock: Clock
-  /** Whether commands about a worker are under way. */
-  readonly isBusy: (workerId: string) => boolean
+  /** Whether commands about a worker are in flight. */
+  readonly hasCommandsInFlight: (workerId: string) => boolean
   /** Whether a pass is due or its assignments are not committed yet. */
   readonly isPassPending: () => boolean
 }
 
 /**
- * Decides when a heartbeat is answered. Answers wait for the worker's own commands, and a little for a pass that may
- * give it work. A worker with nothing to do waits longer, so that work reaches it at once without frequent heartbeats.
+ * Decides when a report is answered. The answer waits for commands about the worker to commit, and briefly for a pass
+ * that may assign runs to it. For an idle worker it waits longer (long polling), so that runs reach the worker at once
+ * without frequent heartbeats.
  */
-export class ReportDesk {
-  readonly #options: ReportDeskOptions
-  /** Both in order of reception. */
-  readonly #open = new Map<string, OpenReport>()
-  readonly #idle = new Map<string, OpenReport>()
+export class PendingReports {
+  readonly #options: PendingReportsOptions
+  /** Both maps are by worker and in order of reception. */
+  readonly #active = new Map<string, PendingReport>()
+  readonly #idle = new Map<string, PendingReport>()
 
-  constructor (options: ReportDeskOptions) {
+  constructor (options: PendingReportsOptions) {
     this.#options = options
   }
 
-  /** Takes a heartbeat; returns an earlier one of the same worker, which nobody waits for any more. */
-  take (open: OpenReport, isIdle: boolean): OpenReport | undefined {
-    const { workerId } = open.view.latest
-    const earlier = this.#open.get(workerId) ?? this.#idle.get(workerId)
-    this.#open.delete(workerId)
+  /** Adds a report; returns an earlier one of the same worker, whose answer the worker no longer waits for. */
+  add (pending: PendingReport, isIdle: boolean): PendingReport | undefined {
+    const { workerId } = pending.view.latest
+    const earlier = this.#active.get(workerId) ?? this.#idle.get(workerId)
+    this.#active.delete(workerId)
     this.#idle.delete(workerId)
-    const queue = isIdle ? this.#idle : this.#open
-    queue.set(workerId, open)
+    const queue = isIdle ? this.#idle : this.#active
+    queue.set(workerId, pending)
     return earlier
   }
 
-  /** Answers an idle worker soon, since there is something to tell it. */
+  /** Ends the long wait of an idle worker, since there are orders for it. */
   wake (workerId: string): void {
-    const open = this.#idle.get(workerId)
-    if (open === undefined) return
+    const pending = this.#idle.get(workerId)
+    if (pending === undefined) return
     this.#idle.delete(workerId)
-    this.#open.set(workerId, open)
+    this.#active.set(workerId, pending)
   }
 
-  /** Heartbeats whose answers are due, which are taken out. */
-  takeDue (): OpenReport[] {
+  /** Removes and returns the reports whose answers are due. */
+  takeDue (): PendingReport[] {
     const nowMs = this.#options.clock.monotonicMs()
-    const due = [...this.#open.values()].filter(open => nowMs - open.receivedAtMs >= this.#holdMs(open))
-    for (const { view } of due) this.#open.delete(view.latest.workerId)
-    for (const open of this.#idle.values()) {
-      if (nowMs - open.receivedAtMs < this.#options.settings.maxIdleHoldMs) break
-      this.#idle.delete(open.view.latest.workerId)
-      due.push(open)
+    const due = [...this.#active.values()].filter(pending => nowMs - pending.receivedAtMs >= this.#maxHoldMs(pending))
+    for (const { view } of due) this.#active.delete(view.latest.workerId)
+    for (const pending of this.#idle.values()) {
+      if (nowMs - pending.receivedAtMs < this.#options.settings.maxIdleHoldMs) break
+      this.#idle.delete(pending.view.latest.workerId)
+      due.push(pending)
     }
     return due
   }
 
-  #holdMs ({ view }: OpenReport): number {
-    const { settings, isBusy, isPassPending } = this.#options
-    if (isBusy(view.latest.workerId)) return settings.maxReportHoldMs
+  #maxHoldMs ({ view }: PendingReport): number {
+    const { settings, hasCommandsInFlight, isPassPending } = this.#options
+    if (hasCommandsInFlight(view.latest.workerId)) return settings.maxReportHoldMs
     return isPassPending() ? settings.maxPassHoldMs : 0
   }
 }
--- a/packages/batch/src/queues.ts
+++ b/packages/batch/src/queues.ts
@@ -1,29 +1,29 @@
 /** Configuration of queues, services and organisations: one document, replaced as a whole by a higher version. */
 import { fail, succeed, type Result } from '@comfreygrade/core'
 
-/** Permission service of a queue, and what its calls take. */
+/** Advice service of a queue, which grants the tickets that starts need, and the durations of its calls. */
 export interface AdvicePolicy {
   readonly decideMs: number
   readonly perWorkerMs: number
-  /** How long a ticket holds after it was granted. */
+  /** How long a ticket is valid after it was granted. */
   readonly ticketValidMs: number
 }
 
-/** A queue of jobs, found by the host and the longest path prefix of a request. */
+/** A queue of jobs, selected by the host and the longest path prefix of a request. */
 export interface QueueConfiguration {
   readonly name: string
   readonly host: string
   readonly pathPrefix: string
   readonly service: string
   readonly timeoutMs: number
-  /** Added to the stretched run time for the completion objective. */
+  /** Fixed part of the completion objective, added to the part that `slackFactor` gives. */
   readonly targetLatencyMs: number
   /** 0 is the most urgent. */
   readonly priority: number
   readonly maxAttempts: number
-  /** Completion objective as a multiple of the longest chain of work. */
+  /** Part of the completion objective that is a multiple of the job's critical path. */
   readonly slackFactor: number
-  /** Requests need no key. */
+  /** Requests need no API key. */
   readonly isAnonymous: boolean
   readonly advice?: AdvicePolicy
 }
@@ -31,19 +31,19 @@
 /** A pool of workers. */
 export interface ServiceConfiguration {
   readonly name: string
-  /** The pool's VMs are switched off and cost nothing. */
+  /** The pool's VMs are switched off and cause no cost. */
   readonly isStandby: boolean
 }
 
-/** An organisation, its keys and its guarantee. */
+/** An organisation with its API keys and its guarantee. */
 export interface OrganisationConfiguration {
   readonly name: string
   readonly apiKeys: readonly string[]
-  /** Accelerators that jobs of priority 0 can always have. */
+  /** Accelerators that the organisation's jobs of priority 0 get at any time. */
   readonly guaranteedAccelerators: number
 }
 
-/** A whole configuration. */
+/** A complete configuration. */
 export interface QueueDocument {
   readonly version: number
   readonly queues: readonly QueueConfiguration[]
@@ -54,7 +54,7 @@
 }
 
 /**
- * Checks what a document says of itself; the reason names the offending entry.
+ * Checks that a document is consistent in itself; the failure names the offending entry.
  *
  * @example
  * validateDocument(document).ok
@@ -96,10 +96,10 @@
   })
 }
 
-/** A document with the indexes that requests need. */
+/** A configuration document, indexed for look-ups by requests. */
 export class QueueDirectory {
   readonly document: QueueDocument
-  readonly #byName = new Map<string, QueueConfiguration>()
+  readonly #byAddress = new Map<string, QueueConfiguration>()
   readonly #byHost = new Map<string, QueueConfiguration[]>()
   readonly #organisationByKey = new Map<string, string>()
   readonly #organisations = new Map<string, OrganisationConfiguration>()
@@ -107,7 +107,7 @@
   constructor (document: QueueDocument) {
     this.document = document
     for (const queue of document.queues) {
-      this.#byName.set(queueAddress(queue), queue)
+      this.#byAddress.set(queueAddress(queue), queue)
       const queues = this.#byHost.get(queue.host) ?? []
       queues.push(queue)
       this.#byHost.set(queue.host, queues)
@@ -119,29 +119,29 @@
     }
   }
 
-  /** The queue with the longest prefix of a path. */
+  /** The queue with the longest path prefix that matches. */
   match (host: string, path: string): QueueConfiguration | undefined {
     return this.#byHost.get(host)?.find(queue => path.startsWith(queue.pathPrefix))
   }
 
-  /** The queue that has this address now. */
+  /** The queue with this address. */
   at (address: string): QueueConfiguration | undefined {
-    return this.#byName.get(address)
+    return this.#byAddress.get(address)
   }
 
-  /** Organisation that holds a key. */
+  /** Organisation that an API key belongs to. */
   organisationOf (key: string): string | undefined {
     return this.#organisationByKey.get(key)
   }
 
-  /** Accelerators guaranteed to an organisation. */
+  /** Accelerators guaranteed to an organisation; 0 where it is unknown. */
   guaranteedAccelerators (organisation: string): number {
     return this.#organisations.get(organisation)?.guaranteedAccelerators ?? 0
   }
 }
 
 /**
- * Identity of a queue over versions of the configuration.
+ * Address of a queue, which identifies it across versions of the configuration.
  *
  * @example
  * queueAddress({ ...queue, host: 'a.example', pathPrefix: '/b/' }) // 'a.example/b/'
--- a/packages/batch/src/reclaim-policy.ts
+++ b/packages/batch/src/reclaim-policy.ts
@@ -1,37 +1,37 @@
-/** How much of others' work may be thrown away for waiting work, and when. */
+/** Preemption policy: how much work of running tasks may be discarded for a waiting step, and when. */
 import { coresOf } from './jobs.js'
 import type { BatchSettings } from './settings.js'
 import type { WaitingStep } from './waiting-steps.js'
 
-/** What is known of a step that does not fit now. */
-export interface WaitingSituation {
+/** State of the pass that a reclaim decision depends on. */
+export interface ReclaimContext {
   readonly nowWallMs: number
-  /** Time until its tasks are expected to fit without any stop. */
+  /** Time until the step's tasks are expected to fit without preemption. */
   readonly startsInMs: number
-  /** Whether all workers have had time to be heard, so that what seems full is full. */
+  /** Whether all workers have had time to report, so that capacity that seems to be lacking is really occupied. */
   readonly isFleetKnown: boolean
 }
 
-/** Decides on the work that may be thrown away for a step; a policy that varies. */
+/** Decides on the work that may be discarded for a step; each policy is a subclass. */
 export abstract class ReclaimPolicy {
-  /** Whether there may be such work at all, whatever the situation. */
+  /** Whether the step may ever preempt other runs, whatever the context. */
   abstract mayReclaim (step: WaitingStep): boolean
 
-  /** Core-seconds that may be thrown away now; 0 where the step waits. */
-  abstract budgetCoreSeconds (step: WaitingStep, situation: WaitingSituation): number
+  /** Core-seconds of work that may be discarded now; 0 where the step has to wait. */
+  abstract lossBudgetCoreSeconds (step: WaitingStep, context: ReclaimContext): number
 }
 
-/** Callers' estimates are off by this factor either way. */
+/** Callers' estimates may be wrong by this factor in either direction. */
 const ESTIMATE_ERROR_FACTOR = 2
-/** Time from a stop's order until its room can be used: a heartbeat, the stop, and the heartbeat that lists it. */
-const STOP_AND_START_MS = 600
+/** Time from a stop order until the capacity can be used: a heartbeat, the stop, and the heartbeat that reports it. */
+const RECLAIM_LATENCY_MS = 600
 
 /**
- * A guarantee that falls due is worth any work. Other urgent work takes room where it would otherwise miss its
- * objective, as soon as that is foreseeable, since later stops throw more away. It never throws away many times the
- * work that it does itself.
+ * A guarantee that falls due may discard any amount of work. Other urgent steps preempt where they would otherwise miss
+ * their objective, as soon as that is foreseeable, since later stops discard more work. What they may discard is
+ * limited to a multiple of their own work.
  */
-export class ObjectiveReclaim extends ReclaimPolicy {
+export class ObjectiveReclaimPolicy extends ReclaimPolicy {
   readonly #settings: BatchSettings
 
   constructor (settings: BatchSettings) {
@@ -43,21 +43,21 @@
     return step.priority === 0
   }
 
-  override budgetCoreSeconds (step: WaitingStep, situation: WaitingSituation): number {
-    const { nowWallMs, startsInMs, isFleetKnown } = situation
+  override lossBudgetCoreSeconds (step: WaitingStep, context: ReclaimContext): number {
+    const { nowWallMs, startsInMs, isFleetKnown } = context
     const { reclaimMs, reclaimLeadMs } = this.#settings
     if (step.isGuaranteed && step.waitedMs >= reclaimMs - reclaimLeadMs) return Infinity
-    if (step.priority > 0 || !isFleetKnown || startsInMs <= STOP_AND_START_MS) return 0
+    if (step.priority > 0 || !isFleetKnown || startsInMs <= RECLAIM_LATENCY_MS) return 0
     const slackMs = step.objectiveWallMs - nowWallMs - step.remainingChainMs
-    const leastSlackMs = slackMs - step.stretchSlackMs * (1 - 1 / ESTIMATE_ERROR_FACTOR)
-    const mostSlackMs = slackMs + step.stretchSlackMs * (ESTIMATE_ERROR_FACTOR - 1)
-    if (mostSlackMs < STOP_AND_START_MS || startsInMs <= leastSlackMs) return 0
-    return this.#worthOf(step)
+    const minSlackMs = slackMs - step.stretchSlackMs * (1 - 1 / ESTIMATE_ERROR_FACTOR)
+    const maxSlackMs = slackMs + step.stretchSlackMs * (ESTIMATE_ERROR_FACTOR - 1)
+    if (maxSlackMs < RECLAIM_LATENCY_MS || startsInMs <= minSlackMs) return 0
+    return this.#maxLossCoreSeconds(step)
   }
 
-  #worthOf ({ spec, taskIndexes, remainingChainMs }: WaitingStep): number {
-    const { reclaimWorkFactor, leastReclaimBudgetCoreSeconds } = this.#settings
+  #maxLossCoreSeconds ({ spec, taskIndexes, remainingChainMs }: WaitingStep): number {
+    const { reclaimWorkFactor, minReclaimBudgetCoreSeconds } = this.#settings
     const ownCoreSeconds = coresOf(spec.shape) * taskIndexes.length * remainingChainMs / 1_000
-    return Math.max(leastReclaimBudgetCoreSeconds, ownCoreSeconds * reclaimWorkFactor)
+    return Math.max(minReclaimBudgetCoreSeconds, ownCoreSeconds * reclaimWorkFactor)
   }
 }
--- a/packages/batch/src/reclaim.ts
+++ b/packages/batch/src/reclaim.ts
@@ -1,136 +1,137 @@
-/** Capacity taken back from lower priorities for urgent work within a guarantee. */
+/** Preemption plans: which runs of lower priority to stop for an urgent step, at the least loss of work. */
 import type { Assignment } from './commands.js'
-import type { OccupyingRun, WorkerSlot } from './worker-capacity.js'
-import { chooseWorkers, onlyCandidates, undo, type Candidates, type TaskChoice } from './worker-selection.js'
+import type { OccupyingRun, WorkerCapacity } from './worker-capacity.js'
+import { placeTasks, asSingleGroup, undoPlacements, type Candidates, type TaskPlacement } from './worker-selection.js'
 import { coresOf } from './jobs.js'
 import type { WaitingStep } from './waiting-steps.js'
 
 interface Victim {
-  readonly slot: WorkerSlot
+  readonly worker: WorkerCapacity
   readonly run: OccupyingRun
 }
 
-/** Runs to stop for a step, and what that throws away. */
+/** Runs to stop for a step, and the work that this discards. */
 export interface ReclaimPlan {
   readonly runs: readonly Assignment[]
   readonly lostCoreSeconds: number
-  /** Room that the plan holds for the step; returned by `undo` where the plan is not carried out. */
-  readonly held: readonly TaskChoice[]
+  /** Capacity that the plan takes for the step; `undoPlacements` returns it where the plan is not carried out. */
+  readonly placements: readonly TaskPlacement[]
 }
 
-/** Work that a checkpointing run loses at a stop, with the time to restore. */
-const CHECKPOINTED_LOSS_MS = 300
+/** Most run time that a checkpointing run loses when it is stopped, including the time to restore it. */
+const MAX_CHECKPOINTED_LOSS_MS = 300
 
 /**
- * Plans the stops for a step. Capacity of runs that are stopping already counts as free. The room that the step will
- * take is held back from work behind it in the pass.
+ * Plans which runs to stop for a step. Capacity of runs that are already being stopped counts as free. The capacity
+ * that the step will take stays deducted for the rest of the pass.
  *
- * @returns undefined where stops do not make enough room
+ * @returns undefined where no preemption frees enough capacity
  * @example
- * const plan = planReclaim(step, candidatesFor(step, slots))
+ * const plan = planReclaim(step, findCandidates(step, workers))
  */
 export function planReclaim (step: WaitingStep, candidates: Candidates): ReclaimPlan | undefined {
-  return whileStoppingIsFree(candidates, () => holdFreed(step, candidates) ?? holdWithVictims(step, candidates))
+  return withStoppingRunsFreed(candidates, () =>
+    placeWithoutVictims(step, candidates) ?? placeWithVictims(step, candidates))
 }
 
 /**
- * Holds room of runs that are stopping, and free room, for a step.
+ * Takes free capacity, and capacity of runs that are being stopped, for a step, without further preemption.
  *
  * @returns whether it is enough for all waiting tasks
  * @example
- * if (holdFreedRoom(step, candidates)) return
+ * if (placeOnFreedCapacity(step, candidates)) return
  */
-export function holdFreedRoom (step: WaitingStep, candidates: Candidates): boolean {
-  return whileStoppingIsFree(candidates, () => holdFreed(step, candidates)) !== undefined
+export function placeOnFreedCapacity (step: WaitingStep, candidates: Candidates): boolean {
+  return withStoppingRunsFreed(candidates, () => placeWithoutVictims(step, candidates)) !== undefined
 }
 
-function whileStoppingIsFree<T> ({ workers }: Candidates, plan: () => T): T {
-  const stopping = workers.flatMap(slot => slot.runs.filter(run => run.isStopping).map(run => ({ slot, run })))
-  setReleased(stopping, true)
+function withStoppingRunsFreed<T> ({ workers }: Candidates, plan: () => T): T {
+  const stopping = workers.flatMap(worker => worker.runs.filter(run => run.isStopping).map(run => ({ worker, run })))
+  setPreempted(stopping, true)
   const result = plan()
-  setReleased(stopping, false)
+  setPreempted(stopping, false)
   return result
 }
 
-function holdFreed (step: WaitingStep, candidates: Candidates): ReclaimPlan | undefined {
-  const choices = chooseWorkers(step, candidates)
-  if (choices.length === step.taskIndexes.length) return { runs: [], lostCoreSeconds: 0, held: choices }
-  undo(step, choices)
+function placeWithoutVictims (step: WaitingStep, candidates: Candidates): ReclaimPlan | undefined {
+  const placements = placeTasks(step, candidates)
+  if (placements.length === step.taskIndexes.length) return { runs: [], lostCoreSeconds: 0, placements }
+  undoPlacements(step, placements)
   return undefined
 }
 
-/** The group of workers in which the stops cost least. */
-function holdWithVictims (step: WaitingStep, { groups }: Candidates): ReclaimPlan | undefined {
-  let best: { readonly group: readonly WorkerSlot[], readonly victims: Victim[] } | undefined
+/** Takes the group of workers in which preemption loses the least work. */
+function placeWithVictims (step: WaitingStep, { groups }: Candidates): ReclaimPlan | undefined {
+  let best: { readonly group: readonly WorkerCapacity[], readonly victims: Victim[] } | undefined
   for (const group of groups) {
-    const victims = cheapestVictims(step, group)
+    const victims = findCheapestVictims(step, group)
     if (victims === undefined) continue
     if (best === undefined || totalLoss(victims) < totalLoss(best.victims)) best = { group, victims }
   }
   if (best === undefined) return undefined
   const { group, victims } = best
-  setReleased(victims, true)
-  const held = chooseWorkers(step, onlyCandidates(group))
-  setReleased(victims, false)
-  return { runs: victims.map(({ run }) => run.assignment), lostCoreSeconds: totalLoss(victims), held }
+  setPreempted(victims, true)
+  const placements = placeTasks(step, asSingleGroup(group))
+  setPreempted(victims, false)
+  return { runs: victims.map(({ run }) => run.assignment), lostCoreSeconds: totalLoss(victims), placements }
 }
 
-/** Fits the tasks one by one, each where the least work is thrown away. */
-function cheapestVictims (step: WaitingStep, slots: readonly WorkerSlot[]): Victim[] | undefined {
+/** Places the tasks one by one, each on the worker where preemption loses the least work. */
+function findCheapestVictims (step: WaitingStep, workers: readonly WorkerCapacity[]): Victim[] | undefined {
   const victims: Victim[] = []
-  const placed: WorkerSlot[] = []
+  const placed: WorkerCapacity[] = []
   for (let count = 0; count < step.taskIndexes.length; count++) {
-    const next = cheapestSlot(step, slots, victims)
+    const next = findCheapestWorker(step, workers, victims)
     if (next === undefined) break
-    setReleased(next.victims, true)
+    setPreempted(next.victims, true)
     victims.push(...next.victims)
-    next.slot.place('', step.spec)
-    placed.push(next.slot)
+    next.worker.place('', step.spec)
+    placed.push(next.worker)
   }
-  for (const slot of placed) slot.unplace('', step.spec)
-  setReleased(victims, false)
+  for (const worker of placed) worker.unplace('', step.spec)
+  setPreempted(victims, false)
   return placed.length < step.taskIndexes.length ? undefined : victims
 }
 
-function cheapestSlot (
-  step: WaitingStep, slots: readonly WorkerSlot[], taken: readonly Victim[]
-): { slot: WorkerSlot, victims: Victim[] } | undefined {
-  let best: { slot: WorkerSlot, victims: Victim[] } | undefined
-  for (const slot of slots) {
-    const victims = victimsOn(slot, step, taken)
+function findCheapestWorker (
+  step: WaitingStep, workers: readonly WorkerCapacity[], taken: readonly Victim[]
+): { worker: WorkerCapacity, victims: Victim[] } | undefined {
+  let best: { worker: WorkerCapacity, victims: Victim[] } | undefined
+  for (const worker of workers) {
+    const victims = findVictimsOn(worker, step, taken)
     if (victims === undefined) continue
-    if (best === undefined || totalLoss(victims) < totalLoss(best.victims)) best = { slot, victims }
+    if (best === undefined || totalLoss(victims) < totalLoss(best.victims)) best = { worker, victims }
   }
   return best
 }
 
-/** The cheapest runs of one worker whose end makes room for one more task; none where it fits already. */
-function victimsOn (slot: WorkerSlot, step: WaitingStep, taken: readonly Victim[]): Victim[] | undefined {
-  const candidates = slot.runs
+/** The runs of one worker with the least loss that make one more task fit; none where it fits already. */
+function findVictimsOn (worker: WorkerCapacity, step: WaitingStep, taken: readonly Victim[]): Victim[] | undefined {
+  const candidates = worker.runs
     .filter(run => !run.isStopping && run.priority > step.priority && !run.spec.isLasting &&
       !taken.some(victim => victim.run === run))
-    .sort((left, right) => lossOf(left) - lossOf(right))
+    .sort((left, right) => lossCoreSeconds(left) - lossCoreSeconds(right))
   const victims: Victim[] = []
   for (const run of candidates) {
-    if (slot.fits(step.spec)) break
-    slot.release(run, true)
-    victims.push({ slot, run })
+    if (worker.fits(step.spec)) break
+    worker.setPreempted(run, true)
+    victims.push({ worker, run })
   }
-  const isEnough = slot.fits(step.spec)
-  setReleased(victims, false)
+  const isEnough = worker.fits(step.spec)
+  setPreempted(victims, false)
   return isEnough ? victims : undefined
 }
 
 function totalLoss (victims: readonly Victim[]): number {
-  return victims.reduce((sum, { run }) => sum + lossOf(run), 0)
+  return victims.reduce((sum, { run }) => sum + lossCoreSeconds(run), 0)
 }
 
-/** Core-seconds that a stop throws away; a gang loses the work of all its members. */
-function lossOf ({ spec, elapsedMs }: OccupyingRun): number {
-  const lostMs = spec.isCheckpointing ? Math.min(elapsedMs, CHECKPOINTED_LOSS_MS) : elapsedMs
+/** Core-seconds of work that a stop discards; a gang loses the work of all its members. */
+function lossCoreSeconds ({ spec, elapsedMs }: OccupyingRun): number {
+  const lostMs = spec.isCheckpointing ? Math.min(elapsedMs, MAX_CHECKPOINTED_LOSS_MS) : elapsedMs
   return coresOf(spec.shape) * (spec.isGang ? spec.taskCount : 1) * lostMs / 1_000
 }
 
-function setReleased (victims: readonly Victim[], isReleased: boolean): void {
-  for (const { slot, run } of victims) slot.release(run, isReleased)
+function setPreempted (victims: readonly Victim[], isPreempted: boolean): void {
+  for (const { worker, run } of victims) worker.setPreempted(run, isPreempted)
 }
--- a/packages/batch/src/report-handler.ts
+++ b/packages/batch/src/report-handler.ts
@@ -1,76 +1,78 @@
-/** Heartbeats on the leader: what they change in the replicated state, and when and how they are answered. */
+/** Handles workers' reports: proposes the changes that follow from them, and answers them with orders. */
 import type { Clock, EventLog, Metrics } from '@comfreygrade/core'
 import type { BatchState } from './batch-state.js'
-import type { BatchCommand, RunEnd, WorkerLife } from './commands.js'
+import type { BatchCommand, RunEnd, WorkerIncarnation } from './commands.js'
 import { jobIdOf } from './jobs.js'
 import type { ProposalOutcome } from './operation-handler.js'
-import type { OrderBook } from './order-planner.js'
-import { ReportDesk } from './pending-reports.js'
+import type { OrderPlanner } from './order-planner.js'
+import { PendingReports } from './pending-reports.js'
 import type { BatchSettings } from './settings.js'
 import type { WorkerOrders, WorkerReport } from './worker-messages.js'
-import type { WorkerTable } from './worker-registry.js'
+import type { WorkerRegistry } from './worker-registry.js'
 import type { WorkerView } from './worker-view.js'
 
 /** Options of {@link ReportHandler}. */
 export interface ReportHandlerOptions {
   readonly state: BatchState
-  readonly workers: WorkerTable
-  readonly orders: OrderBook
+  readonly registry: WorkerRegistry
+  readonly orders: OrderPlanner
   readonly settings: BatchSettings
   readonly clock: Clock
   readonly metrics: Metrics
   readonly log: EventLog
-  readonly propose: (command: BatchCommand, settled: (outcome: ProposalOutcome) => void) => void
+  readonly propose: (command: BatchCommand, onSettled: (outcome: ProposalOutcome) => void) => void
   readonly reply: (requestId: string, orders: WorkerOrders | undefined) => void
-  /** Something has changed that may let waiting work start. */
-  readonly passNeeded: () => void
+  /** Requests a scheduling pass, since a change may let waiting steps start. */
+  readonly requestPass: () => void
   /** Whether a pass is due or its assignments are not committed yet. */
   readonly isPassPending: () => boolean
 }
 
-/** Follows the workers of one term through their heartbeats. */
+/** Handles the reports of one term. */
 export class ReportHandler {
   readonly #options: ReportHandlerOptions
-  readonly #desk: ReportDesk
-  /** Workers with commands under way. */
-  readonly #busyWorkers = new Map<string, number>()
-  /** Jobs whose end is in the log, until their retention is over. */
+  readonly #pendingReports: PendingReports
+  /** Number of commands in flight, by worker. */
+  readonly #commandsInFlight = new Map<string, number>()
+  /** Jobs whose end was logged; kept while the state has the job, so that each end is logged once. */
   readonly #loggedJobs = new Set<string>()
 
   constructor (options: ReportHandlerOptions) {
     this.#options = options
     const { settings, clock, isPassPending } = options
-    this.#desk = new ReportDesk({ settings, clock, isPassPending, isBusy: workerId => this.isBusy(workerId) })
+    this.#pendingReports = new PendingReports({
+      settings, clock, isPassPending, hasCommandsInFlight: workerId => this.hasCommandsInFlight(workerId)
+    })
   }
 
-  /** Takes a heartbeat. */
+  /** Handles a report. */
   receive (requestId: string, report: WorkerReport): void {
     const nowMs = this.#options.clock.monotonicMs()
-    const reception = this.#options.workers.receive(report)
-    for (const replaced of reception.replaced) this.#workerGone(replaced.latest, 'replaced by a later life', replaced)
-    if (reception.kind === 'ignored') {
+    const outcome = this.#options.registry.receive(report)
+    for (const replaced of outcome.replaced) this.#handleWorkerGone(replaced.latest, 'replaced by a later incarnation', replaced)
+    if (outcome.kind === 'ignored') {
       const { workerId, sequence } = report
-      this.#options.metrics.increment('worker.report_ignored', { reason: reception.reason })
-      this.#options.log.info('heartbeat ignored', { workerId, sequence, reason: reception.reason })
+      this.#options.metrics.increment('worker.report_ignored', { reason: outcome.reason })
+      this.#options.log.info('heartbeat ignored', { workerId, sequence, reason: outcome.reason })
       this.#options.reply(requestId, undefined)
       return
     }
-    const { view } = reception
-    if (reception.isNew) this.#options.passNeeded()
+    const { view } = outcome
+    if (outcome.isNew) this.#options.requestPass()
     this.#checkLease(view)
-    if (view.leaseCertainty !== 'uncertain' && view.isConfirmed) this.#recordEnds(report)
-    this.#releaseAbsent(view)
-    const earlier = this.#desk.take({ requestId, view, receivedAtMs: nowMs }, this.#isIdle(view))
+    if (view.leaseStatus !== 'uncertain' && view.isConfirmed) this.#recordEnds(report)
+    this.#releaseAbsentRuns(view)
+    const earlier = this.#pendingReports.add({ requestId, view, receivedAtMs: nowMs }, this.#isIdle(view))
     if (earlier !== undefined) this.#options.reply(earlier.requestId, undefined)
   }
 
-  /** What ended before a lapse does not count, so its runs are freed before the ends are recorded. */
+  /** Runs that ended before a lapse of the lease do not count, so all runs are freed before any end is recorded. */
   #checkLease (view: WorkerView): void {
-    if (view.leaseCertainty === 'held') return
+    if (view.leaseStatus === 'held') return
     const hasRuns = this.#options.orders.mayHoldRuns(view)
-    if (view.leaseCertainty === 'uncertain' && hasRuns) return
-    view.restartLease()
-    if (hasRuns) this.#workerGone(view.latest, 'lease lapsed', view)
+    if (view.leaseStatus === 'uncertain' && hasRuns) return
+    view.resetLease()
+    if (hasRuns) this.#handleWorkerGone(view.latest, 'lease lapsed', view)
   }
 
   #recordEnds (report: WorkerReport): void {
@@ -79,22 +81,22 @@
     const lastSequence = this.#options.state.lastEndSequence(life)
     const ends = report.ends.filter(end => end.sequence > lastSequence)
     if (ends.length === 0) return
-    for (const end of ends) this.#options.workers.noteEnd(report, end)
+    for (const end of ends) this.#options.registry.recordEnd(report, end)
     this.#proposeFor(workerId, { kind: 'record_ends', life, ends }, () => {
-      for (const end of ends) this.#endRecorded(end, life)
-      this.#options.passNeeded()
+      for (const end of ends) this.#handleRecordedEnd(end, life)
+      this.#options.requestPass()
     })
   }
 
-  #endRecorded ({ taskKey, run, reason, sequence }: RunEnd, life: WorkerLife): void {
+  #handleRecordedEnd ({ taskKey, run, reason, sequence }: RunEnd, worker: WorkerIncarnation): void {
     const { log, metrics } = this.#options
     metrics.increment('run.ended', { reason })
-    log.info('run ended', { taskKey, run, reason, workerId: life.workerId, sequence })
-    this.#options.workers.view(life.workerId)?.forgetRun({ ...life, taskKey, run })
+    log.info('run ended', { taskKey, run, reason, workerId: worker.workerId, sequence })
+    this.#options.registry.view(worker.workerId)?.removeRun({ ...worker, taskKey, run })
     this.#logJobEnd(taskKey)
   }
 
-  /** Several ends that are recorded at once may follow the one that ended the job. */
+  /** Several ends recorded by one command may follow the one that ended the job, which must be logged once. */
   #logJobEnd (taskKey: string): void {
     const { log, state, clock, metrics } = this.#options
     const jobId = jobIdOf(taskKey)
@@ -107,99 +109,101 @@
     log.info('job ended', { jobId, outcome: job.state, durationMs: Math.round(durationMs), lastTaskKey: taskKey })
   }
 
-  #releaseAbsent (view: WorkerView): void {
-    const runs = this.#options.orders.certainlyAbsent(view)
+  #releaseAbsentRuns (view: WorkerView): void {
+    const runs = this.#options.orders.confirmedAbsentRuns(view)
     if (runs.length === 0) return
     this.#proposeFor(view.latest.workerId, { kind: 'release', runs }, () => {
-      for (const run of runs) view.forgetRun(run)
-      this.#options.passNeeded()
+      for (const run of runs) view.removeRun(run)
+      this.#options.requestPass()
     })
   }
 
-  /** Takes the word of a worker that it has left. */
-  workerLeft (requestId: string, workerId: string): void {
-    const view = this.#options.workers.view(workerId)
+  /** Handles the message of a worker that it has left. */
+  handleWorkerLeft (requestId: string, workerId: string): void {
+    const view = this.#options.registry.view(workerId)
     this.#options.reply(requestId, undefined)
     if (view === undefined) return
-    this.#options.workers.leave(view.latest)
-    this.#workerGone(view.latest, 'left', view)
+    this.#options.registry.removeDeparted(view.latest)
+    this.#handleWorkerGone(view.latest, 'left', view)
   }
 
-  /** The work that the life had saved goes on elsewhere from the checkpoints that its heartbeats listed. */
-  #workerGone ({ workerId, incarnation }: WorkerLife, reason: string, view: WorkerView | undefined): void {
+  /** Frees the runs of an incarnation; they continue elsewhere from the latest checkpoints that it reported. */
+  #handleWorkerGone ({ workerId, incarnation }: WorkerIncarnation, reason: string, view: WorkerView | undefined): void {
     const { log, state } = this.#options
     const life = { workerId, incarnation }
     const runs = [...state.runsOf(workerId)].filter(run => run.incarnation <= incarnation)
-    const silentMs = view === undefined ? undefined : Math.round(this.#options.clock.monotonicMs() - view.heardAtMs)
-    log.info('worker is gone', { ...life, reason, runs: runs.length, silentMs })
+    const silentMs = view === undefined
+      ? undefined
+      : Math.round(this.#options.clock.monotonicMs() - view.reportedAtMs)
+    log.info('worker gone', { ...life, reason, runs: runs.length, silentMs })
     if (runs.length === 0) return
     const checkpoints = runs.flatMap(({ taskKey, run }) => {
       const checkpoint = view?.latestCheckpoint(taskKey, run) ?? ''
       return checkpoint === '' ? [] : [{ taskKey, checkpoint }]
     })
-    this.#proposeFor(workerId, { kind: 'worker_gone', life, checkpoints }, () => { this.#options.passNeeded() })
+    this.#proposeFor(workerId, { kind: 'worker_gone', life, checkpoints }, () => { this.#options.requestPass() })
   }
 
-  /** A worker with nothing to run, end or be told, whose next end cannot be held up by a wait. */
+  /** Whether a worker has no runs, unrecorded ends or pending commands, so that a long wait delays nothing. */
   #isIdle ({ latest }: WorkerView): boolean {
     return latest.state === 'active' && latest.running.length === 0 && latest.ends.length === 0 &&
-      !this.isBusy(latest.workerId) && !this.#options.state.hasRuns(latest.workerId)
+      !this.hasCommandsInFlight(latest.workerId) && !this.#options.state.hasRuns(latest.workerId)
   }
 
-  /** Answers the heartbeats whose wait is over. */
-  answerDue (): void {
-    for (const { requestId, view } of this.#desk.takeDue()) {
+  /** Answers the reports that have waited long enough. */
+  answerDueReports (): void {
+    for (const { requestId, view } of this.#pendingReports.takeDue()) {
       const orders = { ...this.#options.orders.ordersFor(view), nextReportMs: this.#nextReportMs(view) }
       this.#options.reply(requestId, orders)
     }
   }
 
-  /** The interval grows with the fleet, so that heartbeats take a bounded share of the leader's processor. */
+  /** The interval grows with the fleet, so that reports take a bounded share of the leader's processor time. */
   #nextReportMs (view: WorkerView): number {
     const { nextReportMs, nextIdleReportMs, maxReportsPerSecond } = this.#options.settings
-    const leastMs = this.#isIdle(view) ? nextIdleReportMs : nextReportMs
-    return Math.max(leastMs, Math.round(this.#options.workers.count * 1_000 / maxReportsPerSecond))
+    const minIntervalMs = this.#isIdle(view) ? nextIdleReportMs : nextReportMs
+    return Math.max(minIntervalMs, Math.round(this.#options.registry.count * 1_000 / maxReportsPerSecond))
   }
 
-  /** Frees the runs of workers whose leases have certainly run out. */
-  releaseExpired (): void {
-    for (const life of this.#options.workers.expired()) {
-      if (this.isBusy(life.workerId)) continue
-      this.#workerGone(life, 'silent beyond its lease', this.#options.workers.view(life.workerId))
+  /** Frees the runs of workers whose leases have certainly expired. */
+  releaseExpiredWorkers (): void {
+    for (const worker of this.#options.registry.expiredIncarnations()) {
+      if (this.hasCommandsInFlight(worker.workerId)) continue
+      this.#handleWorkerGone(worker, 'lease expired without a heartbeat', this.#options.registry.view(worker.workerId))
     }
   }
 
-  /** Forgets jobs that the state no longer has, and lives that have been gone for long. */
-  forgetOld (): void {
-    this.#options.workers.forgetOldLives()
+  /** Removes workers that have long been gone, and jobs that the state no longer has. */
+  removeStale (): void {
+    this.#options.registry.removeStaleWorkers()
     const isKnown = (jobId: string): boolean => this.#options.state.job(jobId) !== undefined
-    this.#options.workers.retainJobs(isKnown)
+    this.#options.registry.retainJobs(isKnown)
     for (const jobId of this.#loggedJobs) if (!isKnown(jobId)) this.#loggedJobs.delete(jobId)
   }
 
-  /** The worker's new runs are committed. */
-  assigned (workerId: string): void {
-    this.markBusy(workerId, -1)
-    this.#desk.wake(workerId)
+  /** Called when the command that assigns runs to the worker is settled. */
+  finishAssignment (workerId: string): void {
+    this.adjustCommandsInFlight(workerId, -1)
+    this.#pendingReports.wake(workerId)
   }
 
-  /** Whether commands about a worker are under way. */
-  isBusy (workerId: string): boolean {
-    return this.#busyWorkers.has(workerId)
+  /** Whether commands about a worker are in flight. */
+  hasCommandsInFlight (workerId: string): boolean {
+    return this.#commandsInFlight.has(workerId)
   }
 
-  #proposeFor (workerId: string, command: BatchCommand, applied: () => void): void {
-    this.markBusy(workerId, 1)
+  #proposeFor (workerId: string, command: BatchCommand, onApplied: () => void): void {
+    this.adjustCommandsInFlight(workerId, 1)
     this.#options.propose(command, outcome => {
-      this.markBusy(workerId, -1)
-      if (outcome.kind === 'applied') applied()
+      this.adjustCommandsInFlight(workerId, -1)
+      if (outcome.kind === 'applied') onApplied()
     })
   }
 
-  /** Counts commands about a worker that are under way; its heartbeats are answered after these. */
-  markBusy (workerId: string, change: 1 | -1): void {
-    const count = (this.#busyWorkers.get(workerId) ?? 0) + change
-    if (count === 0) this.#busyWorkers.delete(workerId)
-    else this.#busyWorkers.set(workerId, count)
+  /** Counts commands in flight about a worker; its report is answered after these. */
+  adjustCommandsInFlight (workerId: string, change: 1 | -1): void {
+    const count = (this.#commandsInFlight.get(workerId) ?? 0) + change
+    if (count === 0) this.#commandsInFlight.delete(workerId)
+    else this.#commandsInFlight.set(workerId, count)
   }
 }
--- a/packages/batch/src/reservation.ts
+++ b/packages/batch/src/reservation.ts
@@ -1,21 +1,21 @@
-/** Room held back for work that does not fit yet, so that smaller work does not keep it waiting for ever. */
+/** Capacity reserved for steps that do not fit yet, so that smaller steps do not starve them (EASY backfilling). */
 import type { Candidates } from './worker-selection.js'
-import type { WorkerSlot } from './worker-capacity.js'
+import type { WorkerCapacity } from './worker-capacity.js'
 import type { WaitingStep } from './waiting-steps.js'
 
 interface ExpectedStart {
-  readonly slot: WorkerSlot
+  readonly worker: WorkerCapacity
   readonly inMs: number
 }
 
-/** Room that a step is expected to have, and when. */
+/** Workers on which a step's tasks are expected to start, and when. */
 export interface Reservation {
   readonly starts: readonly ExpectedStart[]
-  /** Time from now at which all tasks are expected to fit; `Infinity` where they never will. */
+  /** Time from now until all tasks are expected to fit; `Infinity` where that is not expected. */
   readonly inMs: number
 }
 
-/** Finds the workers on which the waiting tasks are expected to fit first; a same-rack gang gets one rack. */
+/** Finds the workers on which the waiting tasks are expected to fit first; a gang stays within one group. */
 function findReservation (step: WaitingStep, { groups }: Candidates): Reservation {
   const taskCount = step.taskIndexes.length
   let best: Reservation = { starts: [], inMs: Infinity }
@@ -27,35 +27,35 @@
   return best
 }
 
-/** The reservation of a step, found when it is first asked for and kept while the slots do not change. */
-export class ExpectedRoom {
+/** The reservation of a step, computed on first use; valid while the capacities do not change. */
+export class LazyReservation {
   readonly #step: WaitingStep
   readonly #candidates: Candidates
-  #reservation: Reservation | undefined
+  #value: Reservation | undefined
 
   constructor (step: WaitingStep, candidates: Candidates) {
     this.#step = step
     this.#candidates = candidates
   }
 
-  get reservation (): Reservation {
-    this.#reservation ??= findReservation(this.#step, this.#candidates)
-    return this.#reservation
+  get value (): Reservation {
+    this.#value ??= findReservation(this.#step, this.#candidates)
+    return this.#value
   }
 }
 
 /**
- * Holds the room. Work that is estimated to end before the room is needed may use it meanwhile (EASY backfilling).
+ * Applies the reservation. Tasks that are estimated to end before the capacity is needed may use it until then.
  */
 export function reserve ({ spec }: WaitingStep, { starts, inMs }: Reservation): void {
-  for (const start of starts) start.slot.reserve(spec, spec.isGang ? inMs : start.inMs)
+  for (const start of starts) start.worker.reserve(spec, spec.isGang ? inMs : start.inMs)
 }
 
-function earliestStarts (step: WaitingStep, taskCount: number, slots: readonly WorkerSlot[]): ExpectedStart[] {
+function earliestStarts (step: WaitingStep, taskCount: number, workers: readonly WorkerCapacity[]): ExpectedStart[] {
   const limit = step.spec.maxTasksPerWorker
   const perWorker = limit > 0 ? Math.min(limit, taskCount) : taskCount
-  return slots
-    .flatMap(slot => slot.fittingTimes(step.spec, perWorker).map(inMs => ({ slot, inMs })))
+  return workers
+    .flatMap(worker => worker.expectedStartTimes(step.spec, perWorker).map(inMs => ({ worker, inMs })))
     .sort((left, right) => left.inMs - right.inMs)
     .slice(0, taskCount)
 }
--- a/packages/batch/src/scheduler.ts
+++ b/packages/batch/src/scheduler.ts
@@ -1,210 +1,210 @@
-/** One scheduling pass: which waiting tasks start where, and which runs are stopped for a guarantee. */
+/** Scheduling passes: which waiting tasks start on which workers, and which runs are preempted for urgent steps. */
 import type { Clock } from '@comfreygrade/core'
 import type { BatchState } from './batch-state.js'
 import type { Assignment } from './commands.js'
 import {
-  candidatesFor, chooseWorkers, onlyCandidates, RACK_PATIENCE_MS, undo, waitingKey, type Candidates, type TaskChoice
+  findCandidates, placeTasks, asSingleGroup, MAX_RACK_WAIT_MS, undoPlacements, waitingStepKey, type Candidates,
+  type TaskPlacement
 } from './worker-selection.js'
-import { couldHold, occupyingRuns, usedShare, WorkerSlot } from './worker-capacity.js'
+import { couldHold, listOccupyingRuns, peakUtilisation, WorkerCapacity } from './worker-capacity.js'
 import { taskKey } from './jobs.js'
-import type { WorkOrder } from './scheduling-order.js'
-import { holdFreedRoom, planReclaim, type ReclaimPlan } from './reclaim.js'
-import { ObjectiveReclaim, type ReclaimPolicy } from './reclaim-policy.js'
-import { ExpectedRoom, reserve } from './reservation.js'
+import type { SchedulingOrder } from './scheduling-order.js'
+import { placeOnFreedCapacity, planReclaim, type ReclaimPlan } from './reclaim.js'
+import { ObjectiveReclaimPolicy, type ReclaimPolicy } from './reclaim-policy.js'
+import { LazyReservation, reserve } from './reservation.js'
 import type { BatchSettings } from './settings.js'
-import { waitingSteps, type WaitingStep } from './waiting-steps.js'
+import { listWaitingSteps, type WaitingStep } from './waiting-steps.js'
 import type { WorkerView } from './worker-view.js'
 
-/** What a pass reads besides the replicated state. */
+/** Volatile state that a pass reads besides the replicated state. */
 export interface FleetView {
   readonly views: Iterable<WorkerView>
-  /** Whether a worker may get new runs now. */
-  readonly isUsable: (view: WorkerView) => boolean
+  /** Whether a worker may get new runs. */
+  readonly isSchedulable: (view: WorkerView) => boolean
   readonly isStopping: (run: Assignment) => boolean
-  /** Workers whose permission for a step is in hand; undefined while none is. */
+  /** Workers with a valid ticket for a step; undefined while there is none. */
   readonly permittedWorkers: (key: string) => ReadonlySet<string> | undefined
 }
 
-/** A run that gives way to urgent work. */
+/** A run that is preempted for an urgent step. */
 export interface Reclaim {
   readonly run: Assignment
   readonly forStepKey: string
   readonly lostCoreSeconds: number
 }
 
-/** What a pass decides. */
+/** Result of a pass. */
 export interface PassDecision {
   readonly assignments: readonly Assignment[]
   readonly reclaims: readonly Reclaim[]
-  /** Steps that wait for a permission. */
-  readonly needPermission: readonly WaitingStep[]
+  /** Steps that cannot be placed before the advice service grants tickets for them. */
+  readonly stepsNeedingTickets: readonly WaitingStep[]
 }
 
-/** One pass under way. */
+/** Working state of a pass. */
 interface Pass {
-  readonly slots: readonly WorkerSlot[]
+  readonly workers: readonly WorkerCapacity[]
   readonly nowWallMs: number
   readonly isFleetKnown: boolean
-  /** Longest wait for a better rack. */
-  readonly rackPatienceMs: number
+  readonly maxRackWaitMs: number
   readonly assignments: Assignment[]
   readonly reclaims: Reclaim[]
-  readonly needPermission: WaitingStep[]
-  reservations: number
-  /** Steps that did not fit. */
-  vainTrials: number
+  readonly stepsNeedingTickets: WaitingStep[]
+  reservationCount: number
+  /** Steps that did not fit completely. */
+  failedAttempts: number
 }
 
-/** Steps that do not fit are tried up to this number, so that a pass over a long queue stays short. */
-const MAX_VAIN_TRIALS = 64
-/** Longest time from the order of stops until the step that they make room for has started. */
-const CLAIM_MS = 2_000
+/** A pass ends after this many steps that did not fit, so that it stays short with a long queue. */
+const MAX_FAILED_ATTEMPTS_PER_PASS = 64
+/** Longest time from the stop orders until the step that they free capacity for has started. */
+const RECLAIM_CLAIM_MS = 2_000
 
-/** Plans starts and stops from the replicated state and the leader's view of the workers. */
+/** Decides on starts and preemptions from the replicated state and the leader's view of the workers. */
 export class BatchScheduler {
   readonly #settings: BatchSettings
   readonly #clock: Clock
-  readonly #order: WorkOrder
+  readonly #order: SchedulingOrder
   readonly #reclaimPolicy: ReclaimPolicy
   readonly #createdAtMs: number
-  /** Steps for which runs were stopped, with the end of their claim on the freed room. */
+  /** Steps for which runs were stopped, with the time at which their claim on the freed capacity expires. */
   readonly #claims = new Map<string, number>()
 
-  constructor (settings: BatchSettings, clock: Clock, order: WorkOrder) {
+  constructor (settings: BatchSettings, clock: Clock, order: SchedulingOrder) {
     this.#settings = settings
     this.#clock = clock
     this.#order = order
     this.#createdAtMs = clock.monotonicMs()
-    this.#reclaimPolicy = new ObjectiveReclaim(settings)
+    this.#reclaimPolicy = new ObjectiveReclaimPolicy(settings)
   }
 
-  /** Runs a pass; what it returns has no effect until the assignments are committed. */
-  pass (state: BatchState, fleet: FleetView): PassDecision {
+  /** Runs a pass. Its assignments take effect only once they are committed. */
+  runPass (state: BatchState, fleet: FleetView): PassDecision {
     const nowWallMs = this.#clock.wallMs()
-    this.#dropOldClaims()
-    const steps = waitingSteps(state, this.#clock, this.#settings)
-    const slots = steps.length === 0 ? [] : this.#slots(state, fleet)
-    const isFleetKnown = this.#clock.monotonicMs() - this.#createdAtMs >= this.#settings.fleetSettleMs
+    this.#removeExpiredClaims()
+    const steps = listWaitingSteps(state, this.#clock, this.#settings)
+    const workers = steps.length === 0 ? [] : this.#schedulableWorkers(state, fleet)
+    const isFleetKnown = this.#clock.monotonicMs() - this.#createdAtMs >= this.#settings.fleetDiscoveryMs
     const pass: Pass = {
-      slots,
+      workers,
       nowWallMs,
       isFleetKnown,
-      rackPatienceMs: usedShare(slots) < this.#settings.busyFleetShare ? RACK_PATIENCE_MS : Infinity,
+      maxRackWaitMs: peakUtilisation(workers) < this.#settings.busyFleetUtilisation ? MAX_RACK_WAIT_MS : Infinity,
       assignments: [],
       reclaims: [],
-      needPermission: [],
-      reservations: 0,
-      vainTrials: 0
+      stepsNeedingTickets: [],
+      reservationCount: 0,
+      failedAttempts: 0
     }
     steps.sort((left, right) => this.#compare(left, right, nowWallMs))
     for (const step of steps) {
-      if (pass.vainTrials >= MAX_VAIN_TRIALS) break
-      this.#place(step, fleet, pass)
+      if (pass.failedAttempts >= MAX_FAILED_ATTEMPTS_PER_PASS) break
+      this.#placeStep(step, fleet, pass)
     }
     return pass
   }
 
-  /** Steps for which runs were stopped go first, so that nobody else takes the room that was freed for them. */
+  /** Steps for which runs were stopped go first, so that no other step takes the capacity freed for them. */
   #compare (left: WaitingStep, right: WaitingStep, nowWallMs: number): number {
-    return Number(this.#claims.has(waitingKey(right))) - Number(this.#claims.has(waitingKey(left))) ||
+    return Number(this.#claims.has(waitingStepKey(right))) - Number(this.#claims.has(waitingStepKey(left))) ||
       this.#order.compare(left, right, nowWallMs)
   }
 
-  #dropOldClaims (): void {
+  #removeExpiredClaims (): void {
     const nowMs = this.#clock.monotonicMs()
     for (const [key, expiresAtMs] of this.#claims) if (expiresAtMs <= nowMs) this.#claims.delete(key)
   }
 
-  #place (step: WaitingStep, fleet: FleetView, pass: Pass): void {
-    const permitted = step.hasAdvicePolicy ? fleet.permittedWorkers(waitingKey(step)) : undefined
+  #placeStep (step: WaitingStep, fleet: FleetView, pass: Pass): void {
+    const permitted = step.hasAdvicePolicy ? fleet.permittedWorkers(waitingStepKey(step)) : undefined
     if (step.hasAdvicePolicy && permitted === undefined) {
-      pass.needPermission.push(step)
+      pass.stepsNeedingTickets.push(step)
       return
     }
-    const eligible = pass.slots.filter(slot => mayRun(slot, step, permitted))
+    const eligible = pass.workers.filter(worker => mayRun(worker, step, permitted))
     if (eligible.length === 0) return
-    const candidates = candidatesFor(step, eligible, pass.rackPatienceMs)
-    const choices = chooseWorkers(step, candidates)
-    this.#assign(step, choices, pass)
-    const placed = new Set(choices.map(choice => choice.index))
-    const rest = { ...step, taskIndexes: step.taskIndexes.filter(index => !placed.has(index)) }
-    if (rest.taskIndexes.length > 0) this.#waitOrReclaim(rest, candidates, pass)
+    const candidates = findCandidates(step, eligible, pass.maxRackWaitMs)
+    const placements = placeTasks(step, candidates)
+    this.#assign(step, placements, pass)
+    const placed = new Set(placements.map(placement => placement.taskIndex))
+    const unplaced = { ...step, taskIndexes: step.taskIndexes.filter(index => !placed.has(index)) }
+    if (unplaced.taskIndexes.length > 0) this.#reclaimOrReserve(unplaced, candidates, pass)
   }
 
-  #assign (step: WaitingStep, choices: readonly TaskChoice[], pass: Pass): void {
-    pass.assignments.push(...choices.map(choice => toAssignment(step, choice)))
+  #assign (step: WaitingStep, placements: readonly TaskPlacement[], pass: Pass): void {
+    pass.assignments.push(...placements.map(placement => toAssignment(step, placement)))
   }
 
-  #waitOrReclaim (step: WaitingStep, candidates: Candidates, pass: Pass): void {
-    const expected = new ExpectedRoom(step, candidates)
-    if (this.#startOverRacks(step, candidates, expected, pass)) return
-    pass.vainTrials++
-    if (this.#claims.has(waitingKey(step)) && holdFreedRoom(step, candidates)) return
-    const mayReserve = pass.reservations < this.#settings.maxReservations
+  #reclaimOrReserve (step: WaitingStep, candidates: Candidates, pass: Pass): void {
+    const reservation = new LazyReservation(step, candidates)
+    if (this.#placeAcrossRacks(step, candidates, reservation, pass)) return
+    pass.failedAttempts++
+    if (this.#claims.has(waitingStepKey(step)) && placeOnFreedCapacity(step, candidates)) return
+    const mayReserve = pass.reservationCount < this.#settings.maxReservations
     if (!mayReserve && !this.#reclaimPolicy.mayReclaim(step)) return
     const { nowWallMs, isFleetKnown } = pass
-    const situation = { nowWallMs, startsInMs: expected.reservation.inMs, isFleetKnown }
-    const budget = this.#reclaimPolicy.budgetCoreSeconds(step, situation)
+    const context = { nowWallMs, startsInMs: reservation.value.inMs, isFleetKnown }
+    const budget = this.#reclaimPolicy.lossBudgetCoreSeconds(step, context)
     if (budget > 0 && this.#reclaim(step, candidates, budget, pass)) return
     if (!mayReserve) return
-    pass.reservations++
-    reserve(step, expected.reservation)
+    pass.reservationCount++
+    reserve(step, reservation.value)
   }
 
   /**
-   * A same-rack gang runs over several racks where that ends it sooner than the wait for one, and where most of the
-   * fleet is free, so that work never waits long beside idle workers.
+   * Places a same-rack gang across racks where it then ends sooner than after the wait for one rack. While much of the
+   * fleet is free the wait is short, so that no gang waits long beside idle workers.
    */
-  #startOverRacks (step: WaitingStep, { workers }: Candidates, expected: ExpectedRoom, pass: Pass): boolean {
+  #placeAcrossRacks (step: WaitingStep, { workers }: Candidates, reservation: LazyReservation, pass: Pass): boolean {
     const { isGang, isSameRack, estimateMs } = step.spec
     if (!isGang || !isSameRack) return false
-    const patienceMs = Math.min((this.#settings.farFactor - 1) * estimateMs, pass.rackPatienceMs)
-    if (step.waitedMs <= patienceMs || expected.reservation.inMs <= patienceMs) return false
-    const choices = chooseWorkers(step, onlyCandidates(workers))
-    this.#assign(step, choices, pass)
-    return choices.length > 0
+    const maxWaitMs = Math.min((this.#settings.farFactor - 1) * estimateMs, pass.maxRackWaitMs)
+    if (step.waitedMs <= maxWaitMs || reservation.value.inMs <= maxWaitMs) return false
+    const placements = placeTasks(step, asSingleGroup(workers))
+    this.#assign(step, placements, pass)
+    return placements.length > 0
   }
 
-  /** Returns whether the step has its room, some of it after stops. */
+  /** Returns whether the step has its capacity now, some of it after runs have stopped. */
   #reclaim (step: WaitingStep, candidates: Candidates, budget: number, pass: Pass): boolean {
-    const plan = planReclaim(step, candidates) ?? this.#planOverRacks(step, candidates, budget)
+    const plan = planReclaim(step, candidates) ?? this.#planReclaimAcrossRacks(step, candidates, budget)
     if (plan === undefined) return false
-    const { runs, lostCoreSeconds, held } = plan
+    const { runs, lostCoreSeconds, placements } = plan
     if (lostCoreSeconds > budget) {
-      undo(step, held)
+      undoPlacements(step, placements)
       return false
     }
-    if (runs.length > 0) this.#claims.set(waitingKey(step), this.#clock.monotonicMs() + CLAIM_MS)
-    pass.reclaims.push(...runs.map(run => ({ run, forStepKey: waitingKey(step), lostCoreSeconds })))
+    if (runs.length > 0) this.#claims.set(waitingStepKey(step), this.#clock.monotonicMs() + RECLAIM_CLAIM_MS)
+    pass.reclaims.push(...runs.map(run => ({ run, forStepKey: waitingStepKey(step), lostCoreSeconds })))
     return true
   }
 
-  /** A guarantee that is due does not wait for a rack. */
-  #planOverRacks (step: WaitingStep, { workers }: Candidates, budget: number): ReclaimPlan | undefined {
-    return budget === Infinity ? planReclaim(step, onlyCandidates(workers)) : undefined
+  /** A guarantee that is due does not wait for capacity within one rack. */
+  #planReclaimAcrossRacks (step: WaitingStep, { workers }: Candidates, budget: number): ReclaimPlan | undefined {
+    return budget === Infinity ? planReclaim(step, asSingleGroup(workers)) : undefined
   }
 
-  #slots (state: BatchState, fleet: FleetView): WorkerSlot[] {
+  #schedulableWorkers (state: BatchState, fleet: FleetView): WorkerCapacity[] {
     const nowMs = this.#clock.monotonicMs()
-    const slots: WorkerSlot[] = []
+    const workers: WorkerCapacity[] = []
     for (const view of fleet.views) {
-      if (!fleet.isUsable(view)) continue
-      slots.push(new WorkerSlot(view, occupyingRuns(state, view, fleet.isStopping, nowMs)))
+      if (!fleet.isSchedulable(view)) continue
+      workers.push(new WorkerCapacity(view, listOccupyingRuns(state, view, fleet.isStopping, nowMs)))
     }
-    return slots
+    return workers
   }
 }
 
-function mayRun (slot: WorkerSlot, step: WaitingStep, permitted: ReadonlySet<string> | undefined): boolean {
-  const { service, labels, capacity, workerId } = slot.view.latest
+function mayRun (worker: WorkerCapacity, step: WaitingStep, permitted: ReadonlySet<string> | undefined): boolean {
+  const { service, labels, capacity, workerId } = worker.view.latest
   const { spec, job } = step
   return service === job.service && couldHold(capacity, spec) &&
     (spec.requiredLabel === '' || labels.includes(spec.requiredLabel)) &&
     (permitted === undefined || permitted.has(workerId))
 }
 
-function toAssignment (step: WaitingStep, { index, slot }: TaskChoice): Assignment {
-  const { workerId, incarnation } = slot.view.latest
-  const id = { jobId: step.job.spec.jobId, occurrence: step.occurrence, step: step.stepIndex, index }
-  return { taskKey: taskKey(id), run: step.nextRunOf(index), workerId, incarnation }
+function toAssignment (step: WaitingStep, { taskIndex, worker }: TaskPlacement): Assignment {
+  const { workerId, incarnation } = worker.view.latest
+  const id = { jobId: step.job.spec.jobId, occurrence: step.occurrence, step: step.stepIndex, index: taskIndex }
+  return { taskKey: taskKey(id), run: step.nextRunOf(taskIndex), workerId, incarnation }
 }
--- a/packages/batch/src/scheduling-order.ts
+++ b/packages/batch/src/scheduling-order.ts
@@ -1,20 +1,21 @@
-/** The order in which waiting work is considered. */
+/** The order in which a scheduling pass considers waiting steps. */
 import type { WaitingStep } from './waiting-steps.js'
 
-/** Order of waiting steps; a policy that varies. */
-export abstract class WorkOrder {
+/** Scheduling order; each policy is a subclass. */
+export abstract class SchedulingOrder {
   /** Negative where `left` comes first. */
   abstract compare (left: WaitingStep, right: WaitingStep, nowWallMs: number): number
 }
 
-/** Work that ends later than this multiple of its objective earns nothing for its caller. */
-const WORTHLESS_AFTER_OBJECTIVES = 3
+/** A result that is later than this multiple of its objective is of no use to the caller. */
+const USEFUL_OBJECTIVE_FACTOR = 3
 
 /**
- * Guaranteed work and work that can still meet its objective go first, by priority and earliest objective; then work
- * that is late but of use; then the rest. Under overload this keeps early work from making all later work late as well.
+ * Earliest objective first within priorities, in three classes: steps that are guaranteed or can still meet their
+ * objective, then steps that are late but still useful, then the rest. Under overload this keeps late jobs from making
+ * all later jobs late as well.
  */
-export class ObjectiveOrder extends WorkOrder {
+export class ObjectiveSchedulingOrder extends SchedulingOrder {
   override compare (left: WaitingStep, right: WaitingStep, nowWallMs: number): number {
     return urgencyClass(left, nowWallMs) - urgencyClass(right, nowWallMs) ||
       left.priority - right.priority ||
@@ -25,6 +26,6 @@
 function urgencyClass (step: WaitingStep, nowWallMs: number): number {
   const endsAtMs = nowWallMs + step.remainingChainMs
   if (endsAtMs <= step.objectiveWallMs || step.spec.isLasting || step.isGuaranteed) return 0
-  const usefulForMs = (step.objectiveWallMs - step.startedWallMs) * WORTHLESS_AFTER_OBJECTIVES
-  return endsAtMs <= step.startedWallMs + usefulForMs ? 1 : 2
+  const usefulForMs = (step.objectiveWallMs - step.eligibleSinceWallMs) * USEFUL_OBJECTIVE_FACTOR
+  return endsAtMs <= step.eligibleSinceWallMs + usefulForMs ? 1 : 2
 }
--- a/packages/batch/src/settings.ts
+++ b/packages/batch/src/settings.ts
@@ -1,72 +1,73 @@
-/** Numbers of the batch scheduler. */
+/** Settings of the batch scheduler. */
 
-/** Every number that the leader and its scheduler use. */
+/** Settings of the leader and its scheduler. */
 export interface BatchSettings {
-  /** Lease that an answer to a heartbeat grants, counted from its sending. */
+  /** Lease that the answer to a heartbeat grants, counted from the sending of the heartbeat. */
   readonly leaseMs: number
-  /** Largest relative error of a worker's clock. */
+  /** Largest relative rate error of a worker's clock. */
   readonly clockRateBound: number
-  /** Added to a lease before its runs count as ended, for the way of the heartbeat. */
+  /** Added to a lease before its runs count as ended, since the heartbeat took time to arrive. */
   readonly leaseMarginMs: number
-  /** Workers drop an answer that comes later than this. */
+  /** Workers discard an answer that comes later than this after their heartbeat. */
   readonly reportTimeoutMs: number
-  /** A heartbeat is answered without its commands after this wait, below the worker's limit. */
+  /** Longest wait of an answer for commands about the worker; below `reportTimeoutMs`. */
   readonly maxReportHoldMs: number
-  /** A heartbeat waits this long for a scheduling pass that is due. */
+  /** Longest wait of an answer for a scheduling pass that is due. */
   readonly maxPassHoldMs: number
-  /** A heartbeat of a worker without work waits this long for work, below the worker's limit. */
+  /** Longest wait of an answer to an idle worker for new runs; below `reportTimeoutMs`. */
   readonly maxIdleHoldMs: number
-  /** Wait that a worker keeps before its next heartbeat. */
+  /** Time from an answer until the worker's next heartbeat. */
   readonly nextReportMs: number
-  /** The same for a worker without work, whose heartbeat then waits for work. */
+  /** The same for an idle worker, whose heartbeat is then held until there are runs for it. */
   readonly nextIdleReportMs: number
-  /** Heartbeats that the leader takes from all workers; the wait grows where there are many. */
+  /** Most heartbeats of all workers together; in a large fleet the time between heartbeats grows accordingly. */
   readonly maxReportsPerSecond: number
-  /** A worker that has been silent for this long gets no new runs. */
-  readonly silentAfterMs: number
-  /** Time from the start of a term until an absent run of an earlier term is believed to be absent. */
+  /** A worker without a heartbeat for this long gets no new runs. */
+  readonly unresponsiveAfterMs: number
+  /** Time from the start of a term before a run of an earlier term that is not reported counts as absent. */
   readonly inheritedRunGraceMs: number
-  /** Time in which a job of priority 0 within its organisation's guarantee must have begun. */
+  /** Time within which a job of priority 0 that its organisation's guarantee covers must have started. */
   readonly reclaimMs: number
-  /** Time that stops and the start after them take, so that a reclaim begins this long before it is due. */
+  /** A reclaim begins this long before it is due, since the stops and the start after them take time. */
   readonly reclaimLeadMs: number
-  /** Time from the start of a term in which most workers have not been heard, so that full room may only seem so. */
-  readonly fleetSettleMs: number
-  /** Work of others that may be thrown away for an urgent step, as a multiple of its own. */
+  /** Time from the start of a term until all workers have reported; before that, capacity may seem to be lacking. */
+  readonly fleetDiscoveryMs: number
+  /** Work that may be discarded for an urgent step, as a multiple of the step's own work. */
   readonly reclaimWorkFactor: number
-  /** Core-seconds of others' work that may be thrown away for any urgent step. */
-  readonly leastReclaimBudgetCoreSeconds: number
-  /** Times as long that a same-rack gang takes over several racks. */
+  /** Core-seconds that may be discarded for any urgent step, however small its own work. */
+  readonly minReclaimBudgetCoreSeconds: number
+  /** Slowdown of a same-rack gang that is spread over several racks. */
   readonly farFactor: number
-  /** Share of the fleet in use from which work may wait longer for a better rack. */
-  readonly busyFleetShare: number
-  /** Waiting steps that room is held back for. */
+  /** Utilisation of the fleet from which steps may wait longer for a better rack. */
+  readonly busyFleetUtilisation: number
+  /** Most waiting steps with a reservation in one pass. */
   readonly maxReservations: number
-  /** Interval between two scheduling passes at most. */
+  /** Shortest interval between two scheduling passes. */
   readonly passIntervalMs: number
-  /** Occurrences start this long after they are due, so that clocks that differ start none early. */
+  /** Occurrences start this long after they are due, so that clock differences start none early. */
   readonly dueMarginMs: number
-  /** A leaving worker may live this much longer than it says; work that would be lost stays for that long. */
+  /** A leaving worker may live this much longer than it reports; runs whose work would be lost stay accordingly. */
   readonly leavingGraceMs: number
-  /** A run without progress for this long stands still; its worker gets no new runs after the second. */
+  /** A run without progress for this long has stalled and is evicted. */
   readonly stalledAfterMs: number
+  /** A worker with a run without progress for this long gets no new runs. */
   readonly suspectAfterMs: number
-  /** Time for which the members of a gang wait for one another. */
+  /** Longest time for which gang members wait for one another. */
   readonly gangWaitMs: number
-  /** Calls of an earlier leader about a VM are over this long after the start of a term. */
+  /** Time from the start of a term after which no maintenance call of an earlier leader is in progress. */
   readonly orderLeaseMs: number
-  /** Time from the begin of a maintenance until its worker is surely back. */
+  /** Time from the beginning of a VM's maintenance until its worker is certainly back. */
   readonly maintenanceDownMs: number
-  /** Longest wait for the runs of a VM before its maintenance. */
-  readonly maxMaintenancePatienceMs: number
-  /** Retention of ended jobs. */
+  /** Longest wait for the runs of a VM to end before its maintenance. */
+  readonly maxMaintenanceDrainMs: number
+  /** Time for which ended jobs are kept. */
   readonly endedJobRetentionMs: number
-  /** Most workers that one call for advice may name. */
+  /** Most workers that one request to the advice service may name. */
   readonly maxAdviceWorkers: number
 }
 
 /**
- * Defaults; the node's settings override those that the deployment gives.
+ * Default settings, which a deployment's settings override.
  *
  * @example
  * const settings: BatchSettings = { ...defaultBatchSettings, leaseMs: 4_000 }
@@ -82,15 +83,15 @@
   nextReportMs: 200,
   nextIdleReportMs: 50,
   maxReportsPerSecond: 3_000,
-  silentAfterMs: 2_500,
+  unresponsiveAfterMs: 2_500,
   inheritedRunGraceMs: 2_000,
   reclaimMs: 5_700,
   reclaimLeadMs: 2_200,
-  fleetSettleMs: 2_000,
+  fleetDiscoveryMs: 2_000,
   reclaimWorkFactor: 3,
-  leastReclaimBudgetCoreSeconds: 1_000,
+  minReclaimBudgetCoreSeconds: 1_000,
   farFactor: 3,
-  busyFleetShare: 0.6,
+  busyFleetUtilisation: 0.6,
   maxReservations: 4,
   passIntervalMs: 20,
   dueMarginMs: 20,
@@ -100,7 +101,7 @@
   gangWaitMs: 3_000,
   orderLeaseMs: 3_000,
   maintenanceDownMs: 3_500,
-  maxMaintenancePatienceMs: 10_000,
+  maxMaintenanceDrainMs: 10_000,
   endedJobRetentionMs: 240_000,
   maxAdviceWorkers: 100
 }
--- a/packages/batch/src/waiting-steps.ts
+++ b/packages/batch/src/waiting-steps.ts
@@ -1,58 +1,58 @@
-/** Work whose turn has come: tasks of steps whose dependencies are done and that no worker has. */
+/** Steps that are ready to run: their dependencies are done, and some of their tasks have no run. */
 import type { Clock } from '@comfreygrade/core'
 import type { BatchSettings } from './settings.js'
 import type { BatchState } from './batch-state.js'
 import { isStepDone, createOccurrence, type JobRecord, type OccurrenceRecord } from './job-record.js'
 import { occurrenceDueMs, type JobSpec, type StepSpec } from './jobs.js'
-import { GuaranteeLedger } from './guarantee-coverage.js'
+import { GuaranteeCoverage } from './guarantee-coverage.js'
 import type { QueueConfiguration } from './queues.js'
 
-/** Tasks of one step that wait for workers. */
+/** A step of one occurrence with the tasks that wait for workers. */
 export interface WaitingStep {
   readonly job: JobRecord
   readonly occurrence: number
   readonly stepIndex: number
   readonly spec: StepSpec
-  /** Numbers of the waiting tasks; all of them in a gang. */
+  /** Indexes of the waiting tasks; of a gang, all tasks. */
   readonly taskIndexes: readonly number[]
-  /** Next run number: the same for all members of a gang. */
+  /** Next run number of a task; the same for all members of a gang. */
   readonly nextRunOf: (index: number) => number
-  /** Workers on which a task failed before. */
+  /** Workers on which a task failed recently. */
   readonly failedOn: (index: number) => readonly string[]
   readonly priority: number
-  /** Unix time from which the objective counts. */
-  readonly startedWallMs: number
+  /** Unix time from which the objective counts: acceptance of the job, or the time its occurrence was due. */
+  readonly eligibleSinceWallMs: number
   readonly waitedMs: number
   /** Unix time of the completion objective. */
   readonly objectiveWallMs: number
-  /** Estimated time from the start of this step to the end of the job. */
+  /** Estimated time from the start of this step to the end of the job, along the critical path. */
   readonly remainingChainMs: number
-  /** Part of the time until the objective that rests on the estimate of the run time, without the run itself. */
+  /** Slack that `slackFactor` gives: a multiple of the estimated run time, and so as inaccurate as the estimate. */
   readonly stretchSlackMs: number
   readonly hasAdvicePolicy: boolean
-  /** Urgent work that its organisation's guarantee covers. */
+  /** Whether the step is urgent and its organisation's guarantee covers it. */
   readonly isGuaranteed: boolean
 }
 
-/** Priority of a queue that the configuration in force does not have. */
+/** Priority of jobs whose queue is not in the configuration in force. */
 const LOWEST_PRIORITY = 9
-/** Objective factor of such a queue. */
+/** Slack factor of such jobs. */
 const DEFAULT_SLACK_FACTOR = 3
 
 /**
  * Lists the steps that wait for workers.
  *
  * @example
- * for (const step of waitingSteps(state, clock, settings)) rank(step)
+ * for (const step of listWaitingSteps(state, clock, settings)) consider(step)
  */
-export function waitingSteps (state: BatchState, clock: Clock, settings: BatchSettings): WaitingStep[] {
+export function listWaitingSteps (state: BatchState, clock: Clock, settings: BatchSettings): WaitingStep[] {
   const waiting: WaitingStep[] = []
   const nowWallMs = clock.wallMs()
   const latestDueMs = nowWallMs - settings.dueMarginMs
-  const ledger = new GuaranteeLedger(state)
+  const guarantees = new GuaranteeCoverage(state)
   for (const job of state.openJobs()) {
     const queue = state.directory?.at(job.queueAddress)
-    const isGuaranteed = ledger.covers(job)
+    const isGuaranteed = guarantees.covers(job)
     job.occurrences.forEach((record, occurrence) => {
       if (occurrenceDueMs(job.spec, occurrence) > latestDueMs) return
       const open = { nowWallMs, job, occurrence, record: record ?? createOccurrence(job.spec), queue, isGuaranteed }
@@ -76,10 +76,10 @@
   job.spec.steps.forEach((spec, stepIndex) => {
     const step = record.steps[stepIndex]
     if (step === undefined || isStepDone(step)) return
-    if (!spec.dependsOn.every(index => isDone(record, index))) return
-    const taskIndexes = waitingTasks(record, stepIndex, spec)
+    if (!spec.dependsOn.every(index => isStepDoneAt(record, index))) return
+    const taskIndexes = listWaitingTasks(record, stepIndex, spec)
     if (taskIndexes.length === 0) return
-    const startedWallMs = Math.max(job.acceptedWallMs, occurrenceDueMs(job.spec, occurrence))
+    const eligibleSinceWallMs = Math.max(job.acceptedWallMs, occurrenceDueMs(job.spec, occurrence))
     const chainMs = longestChainMs(job.spec)
     const stretchMs = chainMs * (queue?.slackFactor ?? DEFAULT_SLACK_FACTOR)
     const gangRun = Math.max(0, ...step.tasks.map(task => task.lastRun)) + 1
@@ -92,10 +92,10 @@
       nextRunOf: index => spec.isGang ? gangRun : (step.tasks[index]?.lastRun ?? 0) + 1,
       failedOn: index => step.tasks[index]?.failedOn ?? [],
       priority: queue?.priority ?? LOWEST_PRIORITY,
-      startedWallMs,
-      waitedMs: nowWallMs - startedWallMs,
-      objectiveWallMs: startedWallMs + stretchMs + (queue?.targetLatencyMs ?? 0),
-      remainingChainMs: chainFromMs(job.spec, stepIndex),
+      eligibleSinceWallMs,
+      waitedMs: nowWallMs - eligibleSinceWallMs,
+      objectiveWallMs: eligibleSinceWallMs + stretchMs + (queue?.targetLatencyMs ?? 0),
+      remainingChainMs: remainingChainFromMs(job.spec, stepIndex),
       stretchSlackMs: stretchMs - chainMs,
       hasAdvicePolicy: queue?.advice !== undefined,
       isGuaranteed
@@ -103,26 +103,26 @@
   })
 }
 
-function isDone (record: OccurrenceRecord, index: number): boolean {
+function isStepDoneAt (record: OccurrenceRecord, index: number): boolean {
   const step = record.steps[index]
   return step !== undefined && isStepDone(step)
 }
 
-/** A gang starts again only once none of its members is left on a worker. */
-function waitingTasks (record: OccurrenceRecord, stepIndex: number, spec: StepSpec): number[] {
+/** A gang starts again only once no member has an active run. */
+function listWaitingTasks (record: OccurrenceRecord, stepIndex: number, spec: StepSpec): number[] {
   const tasks = record.steps[stepIndex]?.tasks ?? []
   if (spec.isGang && tasks.some(task => task.active.length > 0 || task.isDone)) return []
   return tasks.flatMap((task, index) => task.isDone || task.active.length > 0 ? [] : [index])
 }
 
-/** Estimated time of the longest chain of dependent steps. */
+/** Estimated time of the critical path: the longest chain of dependent steps. */
 export function longestChainMs (spec: JobSpec): number {
-  return Math.max(0, ...spec.steps.map((_step, index) => chainFromMs(spec, index)))
+  return Math.max(0, ...spec.steps.map((_step, index) => remainingChainFromMs(spec, index)))
 }
 
-function chainFromMs (spec: JobSpec, stepIndex: number): number {
+function remainingChainFromMs (spec: JobSpec, stepIndex: number): number {
   const own = spec.steps[stepIndex]?.estimateMs ?? 0
   const followers = spec.steps.map((step, index) =>
-    index > stepIndex && step.dependsOn.includes(stepIndex) ? chainFromMs(spec, index) : 0)
+    index > stepIndex && step.dependsOn.includes(stepIndex) ? remainingChainFromMs(spec, index) : 0)
   return own + Math.max(0, ...followers)
 }
--- a/packages/batch/src/worker-locations.ts
+++ b/packages/batch/src/worker-locations.ts
@@ -1,32 +1,32 @@
-/** Workers by the VM and the address at which they live. */
+/** Index of workers by VM and by address. */
 import type { WorkerReport } from './worker-messages.js'
 
-type Place = Pick<WorkerReport, 'workerId' | 'vmId' | 'address'>
+type WorkerLocation = Pick<WorkerReport, 'workerId' | 'vmId' | 'address'>
 
 /**
- * Finds workers at the same place, of which at most one is alive.
+ * Finds workers at the same location, of which at most one is alive.
  *
  * @example
- * const places = new WorkerPlaces()
- * places.add({ workerId: 'w1', vmId: 'vm1', address: '10.0.0.1:80' })
- * [...places.at({ workerId: 'w2', vmId: 'vm1', address: '10.0.0.2:80' })] // ['w1']
+ * const locations = new WorkerLocations()
+ * locations.add({ workerId: 'w1', vmId: 'vm1', address: '10.0.0.1:80' })
+ * [...locations.findAt({ workerId: 'w2', vmId: 'vm1', address: '10.0.0.2:80' })] // ['w1']
  */
-export class WorkerPlaces {
+export class WorkerLocations {
   readonly #byVm = new Map<string, Set<string>>()
   readonly #byAddress = new Map<string, Set<string>>()
 
-  add ({ workerId, vmId, address }: Place): void {
+  add ({ workerId, vmId, address }: WorkerLocation): void {
     if (vmId !== '') addTo(this.#byVm, vmId, workerId)
     addTo(this.#byAddress, address, workerId)
   }
 
-  remove ({ workerId, vmId, address }: Place): void {
+  remove ({ workerId, vmId, address }: WorkerLocation): void {
     removeFrom(this.#byVm, vmId, workerId)
     removeFrom(this.#byAddress, address, workerId)
   }
 
   /** Workers on the same VM or at the same address, under any ID. */
-  at ({ vmId, address }: Place): Set<string> {
+  findAt ({ vmId, address }: WorkerLocation): Set<string> {
     return new Set([...this.#byVm.get(vmId) ?? [], ...this.#byAddress.get(address) ?? []])
   }
 }
--- a/packages/batch/src/worker-messages.ts
+++ b/packages/batch/src/worker-messages.ts
@@ -1,39 +1,39 @@
-/** What workers say in their heartbeats, and the orders that ride in the answer. */
+/** Reports that workers send with their heartbeats, and the orders in the answers. */
 import type { TaskShape } from './jobs.js'
-import type { RunEnd, WorkerLife } from './commands.js'
+import type { RunEnd, WorkerIncarnation } from './commands.js'
 
-/** Progress of a task with all its work done, and of a lasting task that is at work. */
+/** Progress of a task whose work is done, and of a lasting task that is available. */
 export const FULL_PROGRESS_PERCENT = 100
 
-/** A run that a worker lists. */
+/** A run that a worker reports as running. */
 export interface RunningTask {
   readonly taskKey: string
   readonly run: number
   readonly checkpoint: string
-  /** Progress of the work; of a lasting task, 100 once it is at work. */
+  /** Progress; of a lasting task, 100 once it is available. */
   readonly percent: number
-  /** Of a lasting task the tail latency of its users in milliseconds, of any other the processor time in use. */
+  /** For a lasting task, the tail latency of its users in milliseconds; for any other, the processor time in use. */
   readonly usage: number
 }
 
-/** A heartbeat. */
-export interface WorkerReport extends WorkerLife {
+/** The report that a worker sends with each heartbeat. */
+export interface WorkerReport extends WorkerIncarnation {
   readonly service: string
   readonly address: string
-  /** VM on which this worker is one life; empty where it is not told. */
+  /** VM that the worker runs on; empty where it is unknown. */
   readonly vmId: string
   readonly availabilityZone: string
-  /** Grows with each heartbeat of one life. */
+  /** Increases with each heartbeat of one incarnation. */
   readonly sequence: number
   readonly state: 'active' | 'leaving'
   readonly capacity: TaskShape
   readonly labels: readonly string[]
   readonly rack: string
-  /** Steady clock of the worker at the sending. */
+  /** The worker's monotonic clock when the report was sent. */
   readonly clockMs: number
-  /** Least time until a leaving worker is gone; undefined where it is not told. */
+  /** Shortest time until a leaving worker is gone; undefined where it is unknown. */
   readonly remainingMs?: number
-  /** Milliseconds that the worker stays slow after its start. */
+  /** Milliseconds for which the worker is still slow after its start. */
   readonly coldRemainingMs: number
   readonly running: readonly RunningTask[]
   readonly ends: readonly RunEnd[]
@@ -45,7 +45,7 @@
   readonly run: number
   readonly payload: string
   readonly checkpoint: string
-  /** Permission for a queue with an advice policy. */
+  /** Ticket of the advice service, for queues with an advice policy. */
   readonly ticket?: string
 }
 
@@ -55,18 +55,18 @@
   readonly run: number
 }
 
-/** Share of its speed at which a run may work. */
+/** Percentage of its full speed at which a run may work. */
 export interface PaceOrder {
   readonly taskKey: string
   readonly run: number
   readonly percent: number
 }
 
-/** Answer to a heartbeat. */
+/** Orders in the answer to a heartbeat. */
 export interface WorkerOrders {
-  /** Lease from the sending of the heartbeat; undefined extends nothing. */
+  /** Lease, counted from the sending of the heartbeat; undefined where the lease is not extended. */
   readonly leaseMs?: number
-  /** Ends up to this number are recorded. */
+  /** The ends up to this sequence number are recorded, so the worker need not report them again. */
   readonly recordedEndSequence: number
   readonly fencingToken: number
   readonly starts: readonly StartOrder[]
--- a/packages/batch/src/worker-selection.ts
+++ b/packages/batch/src/worker-selection.ts
@@ -1,160 +1,162 @@
-/** Choice of workers for the tasks of a step. */
+/** Selection of workers for the tasks of a step: gang placement, data locality, best fit. */
 import { stepKey } from './jobs.js'
-import { tasksThatFit, type WorkerSlot } from './worker-capacity.js'
+import { tasksThatFit, type WorkerCapacity } from './worker-capacity.js'
 import type { WaitingStep } from './waiting-steps.js'
 
-/** A task and the worker chosen for it. */
-export interface TaskChoice {
-  readonly index: number
-  readonly slot: WorkerSlot
+/** A task and the worker that it is placed on. */
+export interface TaskPlacement {
+  readonly taskIndex: number
+  readonly worker: WorkerCapacity
 }
 
-/** Workers that may run a step now. */
+/** Workers that may run a step in this pass. */
 export interface Candidates {
-  readonly workers: readonly WorkerSlot[]
-  /** Groups of them of which one has to take all waiting tasks, where the step is a gang. */
-  readonly groups: ReadonlyArray<readonly WorkerSlot[]>
+  readonly workers: readonly WorkerCapacity[]
+  /** Subsets of the workers; a gang must be placed within one of them. */
+  readonly groups: ReadonlyArray<readonly WorkerCapacity[]>
 }
 
-/** Longest wait for a better rack beside idle workers, and for workers that crashed to come back. */
-export const RACK_PATIENCE_MS = 2_000
+/** Longest wait for a better rack while other workers are idle, and for crashed workers to come back. */
+export const MAX_RACK_WAIT_MS = 2_000
 
 /**
- * The candidates among the workers that could hold a task of the step; `patienceMs` bounds the wait for a better rack.
+ * Narrows the eligible workers by data locality and groups them for gangs; `maxRackWaitMs` bounds the wait for a better
+ * rack.
  *
  * @example
- * const eligible = slots.filter(slot => slot.view.latest.service === step.job.service)
- * const candidates = candidatesFor(step, eligible, Infinity)
+ * const eligible = workers.filter(worker => worker.view.latest.service === step.job.service)
+ * const candidates = findCandidates(step, eligible, Infinity)
  */
-export function candidatesFor (
-  step: WaitingStep, eligible: readonly WorkerSlot[], patienceMs: number
+export function findCandidates (
+  step: WaitingStep, eligible: readonly WorkerCapacity[], maxRackWaitMs: number
 ): Candidates {
-  const workers = nearData(step, eligible, patienceMs)
+  const workers = preferDataRack(step, eligible, maxRackWaitMs)
   return { workers, groups: step.spec.isGang ? placementGroups(step, workers) : [workers] }
 }
 
-/** These workers and no others as candidates. */
-export function onlyCandidates (workers: readonly WorkerSlot[]): Candidates {
+/** Candidates that consist of one group. */
+export function asSingleGroup (workers: readonly WorkerCapacity[]): Candidates {
   return { workers, groups: [workers] }
 }
 
 /**
- * Chooses workers for the waiting tasks: all members of a gang or none, of other steps as many as fit. The capacity of
- * what is chosen is taken from the slots.
+ * Places the waiting tasks: all members of a gang or none; of other steps, as many as fit. The capacity of the placed
+ * tasks is deducted from the workers.
  */
-export function chooseWorkers (step: WaitingStep, { workers, groups }: Candidates): TaskChoice[] {
-  return step.spec.isGang ? chooseGang(step, groups) : chooseEach(step, workers)
+export function placeTasks (step: WaitingStep, { workers, groups }: Candidates): TaskPlacement[] {
+  return step.spec.isGang ? placeGang(step, groups) : placeEach(step, workers)
 }
 
 /**
- * Racks for a same-rack gang, otherwise all workers. A gang wider than any rack runs over several, since it would never
- * start otherwise. That takes several times as long, so it first waits a while for lost workers to come back.
+ * One group per rack for a same-rack gang, otherwise one group of all workers. A gang wider than any rack is spread
+ * over several, since it would never start otherwise. It then runs several times as long, so it first waits for lost
+ * workers to come back.
  */
-function placementGroups (step: WaitingStep, workers: readonly WorkerSlot[]): ReadonlyArray<readonly WorkerSlot[]> {
+function placementGroups (
+  step: WaitingStep, workers: readonly WorkerCapacity[]
+): ReadonlyArray<readonly WorkerCapacity[]> {
   if (!step.spec.isSameRack) return [workers]
-  const racks = [...slotsByRack(workers).values()].filter(slots => couldHoldAll(step, slots))
+  const racks = [...groupByRack(workers).values()].filter(rackWorkers => couldHoldAllTasks(step, rackWorkers))
   if (racks.length > 0) return racks
-  return step.waitedMs >= RACK_PATIENCE_MS ? [workers] : []
+  return step.waitedMs >= MAX_RACK_WAIT_MS ? [workers] : []
 }
 
-/** Whether the workers could take all waiting tasks if they were empty. */
-function couldHoldAll ({ spec, taskIndexes }: WaitingStep, slots: readonly WorkerSlot[]): boolean {
+/** Whether the workers could hold all waiting tasks if they were empty. */
+function couldHoldAllTasks ({ spec, taskIndexes }: WaitingStep, workers: readonly WorkerCapacity[]): boolean {
   const limit = spec.maxTasksPerWorker > 0 ? spec.maxTasksPerWorker : Infinity
-  let room = 0
-  for (const slot of slots) room += Math.min(limit, tasksThatFit(slot.view.latest.capacity, spec))
-  return room >= taskIndexes.length
+  let taskCapacity = 0
+  for (const worker of workers) taskCapacity += Math.min(limit, tasksThatFit(worker.view.latest.capacity, spec))
+  return taskCapacity >= taskIndexes.length
 }
 
-/** Key of a waiting step. */
-export function waitingKey (step: WaitingStep): string {
+export function waitingStepKey (step: WaitingStep): string {
   return stepKey(step.job.spec.jobId, step.occurrence, step.stepIndex)
 }
 
-/** Workers by rack. */
-function slotsByRack (slots: readonly WorkerSlot[]): Map<string, WorkerSlot[]> {
-  const racks = new Map<string, WorkerSlot[]>()
-  for (const slot of slots) {
-    const { rack } = slot.view.latest
+function groupByRack (workers: readonly WorkerCapacity[]): Map<string, WorkerCapacity[]> {
+  const racks = new Map<string, WorkerCapacity[]>()
+  for (const worker of workers) {
+    const { rack } = worker.view.latest
     const group = racks.get(rack)
-    if (group === undefined) racks.set(rack, [slot])
-    else group.push(slot)
+    if (group === undefined) racks.set(rack, [worker])
+    else group.push(worker)
   }
   return racks
 }
 
-/** Returns the capacity of choices that are not used. */
-export function undo (step: WaitingStep, choices: readonly TaskChoice[]): void {
-  for (const { slot } of choices) slot.unplace(waitingKey(step), step.spec)
+/** Returns the capacity of placements that are not used. */
+export function undoPlacements (step: WaitingStep, placements: readonly TaskPlacement[]): void {
+  for (const { worker } of placements) worker.unplace(waitingStepKey(step), step.spec)
 }
 
-/** The group that is left with the fewest free accelerators, so that others keep large pieces. */
-function chooseGang (step: WaitingStep, groups: ReadonlyArray<readonly WorkerSlot[]>): TaskChoice[] {
-  let best: TaskChoice[] = []
+/** Takes the group with the fewest free accelerators, so that other groups keep capacity for wide gangs. */
+function placeGang (step: WaitingStep, groups: ReadonlyArray<readonly WorkerCapacity[]>): TaskPlacement[] {
+  let best: TaskPlacement[] = []
   let bestFree = Infinity
-  for (const slots of groups) {
-    const choices = chooseEach(step, slots)
-    const free = slots.reduce((sum, slot) => sum + slot.free.acceleratorCount, 0)
-    undo(step, choices)
-    if (choices.length < step.taskIndexes.length || free >= bestFree) continue
-    best = choices
+  for (const workers of groups) {
+    const placements = placeEach(step, workers)
+    const free = workers.reduce((sum, worker) => sum + worker.free.acceleratorCount, 0)
+    undoPlacements(step, placements)
+    if (placements.length < step.taskIndexes.length || free >= bestFree) continue
+    best = placements
     bestFree = free
   }
-  for (const { slot } of best) slot.place(waitingKey(step), step.spec)
+  for (const { worker } of best) worker.place(waitingStepKey(step), step.spec)
   return best
 }
 
-/** Work away from its data takes several times as long, so it waits for its rack for as long as one run takes there. */
-function nearData (
-  step: WaitingStep, eligible: readonly WorkerSlot[], patienceMs: number
-): readonly WorkerSlot[] {
+/** A run away from its data takes several times as long, so it waits for the data's rack for up to one run time. */
+function preferDataRack (
+  step: WaitingStep, eligible: readonly WorkerCapacity[], maxRackWaitMs: number
+): readonly WorkerCapacity[] {
   const { dataRack, estimateMs } = step.spec
-  if (dataRack === '' || step.waitedMs > Math.min(estimateMs, patienceMs)) return eligible
-  const near = eligible.filter(slot => slot.view.latest.rack === dataRack)
+  if (dataRack === '' || step.waitedMs > Math.min(estimateMs, maxRackWaitMs)) return eligible
+  const near = eligible.filter(worker => worker.view.latest.rack === dataRack)
   return near.length > 0 ? near : eligible
 }
 
-function chooseEach (step: WaitingStep, eligible: readonly WorkerSlot[]): TaskChoice[] {
-  const choices: TaskChoice[] = []
+function placeEach (step: WaitingStep, eligible: readonly WorkerCapacity[]): TaskPlacement[] {
+  const placements: TaskPlacement[] = []
   for (const index of step.taskIndexes) {
-    const slot = tightest(step, eligible, step.failedOn(index))
-    if (slot === undefined) break
-    slot.place(waitingKey(step), step.spec)
-    choices.push({ index, slot })
+    const worker = findBestFit(step, eligible, step.failedOn(index))
+    if (worker === undefined) break
+    worker.place(waitingStepKey(step), step.spec)
+    placements.push({ taskIndex: index, worker })
   }
-  return choices
+  return placements
 }
 
-/** The worker that fits with the least left over. */
-function tightest (
-  step: WaitingStep, eligible: readonly WorkerSlot[], failedOn: readonly string[]
-): WorkerSlot | undefined {
+/** Best fit: the admissible worker with the least capacity left over. */
+function findBestFit (
+  step: WaitingStep, eligible: readonly WorkerCapacity[], failedOn: readonly string[]
+): WorkerCapacity | undefined {
   const limit = step.spec.maxTasksPerWorker
-  const key = waitingKey(step)
-  let best: WorkerSlot | undefined
-  let bestLeft = Infinity
-  for (const slot of eligible) {
-    if (!slot.admits(step.spec) || (limit > 0 && slot.tasksOf(key) >= limit)) continue
-    const left = leftOver(slot, step) + (failedOn.includes(slot.workerId) ? FAILED_HERE_WEIGHT : 0)
-    if (left >= bestLeft) continue
-    best = slot
-    bestLeft = left
+  const key = waitingStepKey(step)
+  let best: WorkerCapacity | undefined
+  let lowestScore = Infinity
+  for (const worker of eligible) {
+    if (!worker.admits(step.spec) || (limit > 0 && worker.taskCountOf(key) >= limit)) continue
+    const score = bestFitScore(worker, step) + (failedOn.includes(worker.workerId) ? EARLIER_FAILURE_PENALTY : 0)
+    if (score >= lowestScore) continue
+    best = worker
+    lowestScore = score
   }
   return best
 }
 
-/** Weight of a rack without the step's data against free capacity. */
-const AWAY_WEIGHT = 10
-/** Weight of a worker on which the task failed before, so that a sick worker does not use up its attempts. */
-const FAILED_HERE_WEIGHT = 100
-/** Accelerators are the scarcest, so free ones weigh more than free memory or processors. */
+/** Added to the score of a worker whose rack does not hold the step's data. */
+const REMOTE_DATA_PENALTY = 10
+/** Added for a worker on which the task failed before, so that a faulty worker does not use up the task's attempts. */
+const EARLIER_FAILURE_PENALTY = 100
+/** Accelerators are the scarcest resource, so free ones weigh more than free memory or processors. */
 const ACCELERATOR_WEIGHT = 2
 
-function leftOver (slot: WorkerSlot, step: WaitingStep): number {
-  const { capacity, rack } = slot.view.latest
-  const { free } = slot
+function bestFitScore (worker: WorkerCapacity, step: WaitingStep): number {
+  const { capacity, rack } = worker.view.latest
+  const { free } = worker
   const accelerators = free.acceleratorCount / Math.max(1, capacity.acceleratorCount)
   const memory = free.memoryMb / Math.max(1, capacity.memoryMb)
   const cpu = free.cpuMillicores / Math.max(1, capacity.cpuMillicores)
-  const isAway = step.spec.dataRack !== '' && rack !== step.spec.dataRack
-  return accelerators * ACCELERATOR_WEIGHT + memory + cpu + (isAway ? AWAY_WEIGHT : 0)
+  const isRemoteFromData = step.spec.dataRack !== '' && rack !== step.spec.dataRack
+  return accelerators * ACCELERATOR_WEIGHT + memory + cpu + (isRemoteFromData ? REMOTE_DATA_PENALTY : 0)
 }
