--- a/packages/batch/src/worker-view.ts
+++ b/packages/batch/src/worker-view.ts
@@ -1,79 +1,81 @@
-/** What the leader has heard from one life of a worker. */
+/** The leader's view of one incarnation of a worker, from its reports. */
 import type { Clock } from '@comfreygrade/core'
-import { runInLife, runKey } from './batch-state.js'
+import { taskRunKey, assignmentKey } from './batch-state.js'
 import type { Assignment } from './commands.js'
 import type { WorkerReport, RunningTask } from './worker-messages.js'
 import type { BatchSettings } from './settings.js'
 
-/** Whether ends listed now can still count. */
-export type LeaseCertainty = 'held' | 'uncertain' | 'lapsed'
+/** Whether the worker's lease has held without a gap, so that the ends that it reports count. */
+export type LeaseStatus = 'held' | 'uncertain' | 'lapsed'
 
-/** Progress of a run, for telling stalled runs from slow ones. */
+/** Progress of a run, to distinguish stalled runs from slow ones. */
 export interface RunProgress {
   readonly taskKey: string
   readonly firstSeenMs: number
   percent: number
-  changedMs: number
+  lastChangeMs: number
 }
 
 /**
- * Volatile view of a worker. Times are the leader's monotonic clock unless a name says otherwise.
+ * Volatile view of a worker. Times are on the leader's monotonic clock, those in `...WorkerMs` on the worker's.
  *
- * A worker has one heartbeat under way at a time, so a heartbeat that follows another within its time limit proves that
- * the earlier one was answered.
+ * A worker has one heartbeat in flight at a time, so a heartbeat that follows another within the report timeout proves
+ * that the worker has received the answer to the earlier one.
  */
 export class WorkerView {
   readonly #settings: BatchSettings
   readonly #termStartedAtMs: number
+  /** Latest accepted report. */
   latest: WorkerReport
-  heardAtMs: number
+  reportedAtMs: number
+  /** Progress of the runs in the latest report, by task run. */
   readonly progress = new Map<string, RunProgress>()
-  /** Sequence of the heartbeat in whose answer a run was last offered, by run. */
-  readonly offeredAt = new Map<string, number>()
-  /** Runs that a heartbeat of this life has listed; they leave the worker only by an end that it lists. */
-  readonly seen = new Set<string>()
-  /** Runs that the leader of this term assigned. */
+  /** Sequence of the heartbeat whose answer last carried the start order of a run, by assignment. */
+  readonly startSentAtSequence = new Map<string, number>()
+  /** Runs that this incarnation has reported; they are on the worker until it reports their end. */
+  readonly reportedRuns = new Set<string>()
+  /** Assignments that the leader of this term made. */
   readonly assignedInTerm = new Set<string>()
-  /** Latest checkpoint listed of each run, also of one that is no longer listed. */
+  /** Latest reported checkpoint of each run, also of runs that are no longer reported. */
   readonly #checkpoints = new Map<string, string>()
-  /** Least (leader's clock - worker's clock) seen, as it may have drifted since: the one of the fastest heartbeat. */
+  /** Least (leader's clock - worker's clock), from the fastest heartbeat; grows by the possible drift since then. */
   #clockOffsetMs: number
   #offsetAtMs: number
-  /** Whether a second heartbeat has shown that the first one was not an old one. */
+  /** Whether a second heartbeat has shown that the first one was not a delayed one. */
   #isConfirmed = false
-  #grantedAtWorkerMs: number | undefined
-  #sureLeaseEndWorkerMs = -Infinity
-  #possibleLeaseEndWorkerMs = -Infinity
-  #leaseCertainty: LeaseCertainty = 'held'
+  #lastGrantWorkerMs: number | undefined
+  #minLeaseEndWorkerMs = -Infinity
+  #maxLeaseEndWorkerMs = -Infinity
+  #leaseStatus: LeaseStatus = 'held'
 
   constructor (report: WorkerReport, termStartedAtMs: number, clock: Clock, settings: BatchSettings) {
     this.#settings = settings
     this.#termStartedAtMs = termStartedAtMs
     this.latest = report
-    this.heardAtMs = clock.monotonicMs()
-    this.#clockOffsetMs = this.heardAtMs - report.clockMs
-    this.#offsetAtMs = this.heardAtMs
-    this.#followProgress(report, this.heardAtMs)
+    this.reportedAtMs = clock.monotonicMs()
+    this.#clockOffsetMs = this.reportedAtMs - report.clockMs
+    this.#offsetAtMs = this.reportedAtMs
+    this.#updateProgress(report, this.reportedAtMs)
   }
 
   /**
-   * Takes a heartbeat.
+   * Accepts a report if it is the newest and came in time; the worker would discard the answer to a late one.
    *
-   * @returns whether it is newer than all before and came in time; the answer to a late one is dropped by the worker
+   * @returns whether the report was accepted
    */
   accept (report: WorkerReport, nowMs: number): boolean {
     if (report.sequence < this.latest.sequence) return false
     if (this.#latenessMs(report, nowMs) > this.#settings.reportTimeoutMs) return false
     this.#isConfirmed = true
-    this.#confirmGrant(report)
-    this.#leaseCertainty = this.#judgeLease(report)
+    this.#confirmLeaseGrant(report)
+    this.#leaseStatus = this.#evaluateLease(report)
     this.latest = report
-    this.heardAtMs = nowMs
-    this.#followProgress(report, nowMs)
+    this.reportedAtMs = nowMs
+    this.#updateProgress(report, nowMs)
     return true
   }
 
-  /** How much later than the fastest heartbeat this one came; a slow clock of the worker does not count. */
+  /** Delay of a heartbeat compared with the fastest one; drift of a slow worker clock does not count. */
   #latenessMs ({ clockMs }: WorkerReport, nowMs: number): number {
     const driftMs = (nowMs - this.#offsetAtMs) * this.#settings.clockRateBound
     const offsetMs = nowMs - clockMs
@@ -82,97 +84,97 @@
     return offsetMs - this.#clockOffsetMs
   }
 
-  /** Whether the latest heartbeat is certainly no old one that was held up on its way. */
+  /** Whether the latest heartbeat is certainly not one that was delayed in the network. */
   get isConfirmed (): boolean {
     return this.#isConfirmed
   }
 
-  /** Whether the lease has certainly held up to the latest heartbeat. */
-  get leaseCertainty (): LeaseCertainty {
-    return this.#leaseCertainty
+  /** Status of the lease up to the latest heartbeat. */
+  get leaseStatus (): LeaseStatus {
+    return this.#leaseStatus
   }
 
-  /** A run that an earlier heartbeat listed would have ended with the lease. */
-  #judgeLease ({ running, clockMs }: WorkerReport): LeaseCertainty {
-    const hasContinuingRun = running.some(row => this.seen.has(runInLife(row)))
-    if (this.#grantedAtWorkerMs === undefined || hasContinuingRun) return 'held'
-    if (clockMs < this.#sureLeaseEndWorkerMs) return 'held'
+  /** A run reported earlier that still runs proves that the lease has held, since runs end with the lease. */
+  #evaluateLease ({ running, clockMs }: WorkerReport): LeaseStatus {
+    const hasContinuingRun = running.some(task => this.reportedRuns.has(taskRunKey(task)))
+    if (this.#lastGrantWorkerMs === undefined || hasContinuingRun) return 'held'
+    if (clockMs < this.#minLeaseEndWorkerMs) return 'held'
     // An earlier leader may have extended the lease up to the start of this term.
     const inheritedEndMs = this.#termStartedAtMs - this.#clockOffsetMs + this.#settings.leaseMs
-    return clockMs > Math.max(this.#possibleLeaseEndWorkerMs, inheritedEndMs) ? 'lapsed' : 'uncertain'
+    return clockMs > Math.max(this.#maxLeaseEndWorkerMs, inheritedEndMs) ? 'lapsed' : 'uncertain'
   }
 
-  /** Notes that the answer to the latest heartbeat extends the lease. */
-  granted (leaseMs: number): void {
-    this.#grantedAtWorkerMs = this.latest.clockMs
-    this.#possibleLeaseEndWorkerMs = Math.max(this.#possibleLeaseEndWorkerMs, this.latest.clockMs + leaseMs)
+  /** Records that the answer to the latest heartbeat extends the lease. */
+  recordLeaseGrant (leaseMs: number): void {
+    this.#lastGrantWorkerMs = this.latest.clockMs
+    this.#maxLeaseEndWorkerMs = Math.max(this.#maxLeaseEndWorkerMs, this.latest.clockMs + leaseMs)
   }
 
-  /** Forgets the leases of before a lapse. */
-  restartLease (): void {
-    this.#leaseCertainty = 'held'
-    this.#grantedAtWorkerMs = undefined
-    this.#sureLeaseEndWorkerMs = -Infinity
-    this.#possibleLeaseEndWorkerMs = -Infinity
+  /** Discards the lease grants from before a lapse. */
+  resetLease (): void {
+    this.#leaseStatus = 'held'
+    this.#lastGrantWorkerMs = undefined
+    this.#minLeaseEndWorkerMs = -Infinity
+    this.#maxLeaseEndWorkerMs = -Infinity
   }
 
-  /** The latest row of a run. */
-  rowOf (taskKey: string, run: number): RunningTask | undefined {
-    return this.latest.running.find(row => row.taskKey === taskKey && row.run === run)
+  /** The entry of a run in the latest report. */
+  runningTask (taskKey: string, run: number): RunningTask | undefined {
+    return this.latest.running.find(task => task.taskKey === taskKey && task.run === run)
   }
 
-  /** How long a run has been seen at work; undefined before its first row. */
+  /** Time since a run was first reported; undefined where the latest report does not list it. */
   elapsedMs (taskKey: string, run: number, nowMs: number): number | undefined {
-    const progress = this.progress.get(runInLife({ taskKey, run }))
+    const progress = this.progress.get(taskRunKey({ taskKey, run }))
     return progress === undefined ? undefined : nowMs - progress.firstSeenMs
   }
 
-  /** How long a run has shown no progress; undefined before its first row. */
+  /** Time since a run last made progress; undefined where the latest report does not list it. */
   unchangedMs (taskKey: string, run: number, nowMs: number): number | undefined {
-    const progress = this.progress.get(runInLife({ taskKey, run }))
-    return progress === undefined ? undefined : nowMs - progress.changedMs
+    const progress = this.progress.get(taskRunKey({ taskKey, run }))
+    return progress === undefined ? undefined : nowMs - progress.lastChangeMs
   }
 
-  /** The latest checkpoint that any heartbeat listed of a run; empty for none. */
+  /** The latest reported checkpoint of a run; empty for none. */
   latestCheckpoint (taskKey: string, run: number): string {
-    return this.#checkpoints.get(runInLife({ taskKey, run })) ?? ''
+    return this.#checkpoints.get(taskRunKey({ taskKey, run })) ?? ''
   }
 
-  /** Forgets a run that is off the worker for good. */
-  forgetRun (run: Assignment): void {
-    const key = runInLife(run)
-    this.seen.delete(key)
+  /** Removes a run that has left the worker for good. */
+  removeRun (run: Assignment): void {
+    const key = taskRunKey(run)
+    this.reportedRuns.delete(key)
     this.#checkpoints.delete(key)
-    this.offeredAt.delete(runKey(run))
-    this.assignedInTerm.delete(runKey(run))
+    this.startSentAtSequence.delete(assignmentKey(run))
+    this.assignedInTerm.delete(assignmentKey(run))
   }
 
-  /** Runs that have shown no progress since then. */
-  runsUnchangedSince (changedBeforeMs: number): RunProgress[] {
+  /** Runs that have made no progress since the given time. */
+  runsUnchangedSince (sinceMs: number): RunProgress[] {
     const unchanged: RunProgress[] = []
-    for (const progress of this.progress.values()) if (progress.changedMs <= changedBeforeMs) unchanged.push(progress)
+    for (const progress of this.progress.values()) if (progress.lastChangeMs <= sinceMs) unchanged.push(progress)
     return unchanged
   }
 
-  #confirmGrant (report: WorkerReport): void {
-    const grantedMs = this.#grantedAtWorkerMs
+  #confirmLeaseGrant (report: WorkerReport): void {
+    const grantedMs = this.#lastGrantWorkerMs
     if (grantedMs === undefined || report.clockMs - grantedMs >= this.#settings.reportTimeoutMs) return
-    this.#sureLeaseEndWorkerMs = grantedMs + this.#settings.leaseMs
+    this.#minLeaseEndWorkerMs = grantedMs + this.#settings.leaseMs
   }
 
-  #followProgress (report: WorkerReport, nowMs: number): void {
-    const listed = new Set<string>()
+  #updateProgress (report: WorkerReport, nowMs: number): void {
+    const reportedKeys = new Set<string>()
     for (const { taskKey, run, checkpoint } of [...report.running, ...report.ends]) {
-      if (checkpoint !== '') this.#checkpoints.set(runInLife({ taskKey, run }), checkpoint)
+      if (checkpoint !== '') this.#checkpoints.set(taskRunKey({ taskKey, run }), checkpoint)
     }
     for (const { taskKey, run, percent } of report.running) {
-      const key = runInLife({ taskKey, run })
-      listed.add(key)
-      this.seen.add(key)
+      const key = taskRunKey({ taskKey, run })
+      reportedKeys.add(key)
+      this.reportedRuns.add(key)
       const known = this.progress.get(key)
-      if (known === undefined) this.progress.set(key, { taskKey, firstSeenMs: nowMs, percent, changedMs: nowMs })
-      else if (known.percent !== percent) Object.assign(known, { percent, changedMs: nowMs })
+      if (known === undefined) this.progress.set(key, { taskKey, firstSeenMs: nowMs, percent, lastChangeMs: nowMs })
+      else if (known.percent !== percent) Object.assign(known, { percent, lastChangeMs: nowMs })
     }
-    for (const key of this.progress.keys()) if (!listed.has(key)) this.progress.delete(key)
+    for (const key of this.progress.keys()) if (!reportedKeys.has(key)) this.progress.delete(key)
   }
 }
--- a/packages/batch/test/lost-worker.test.ts
+++ b/packages/batch/test/lost-worker.test.ts
@@ -1,103 +1,103 @@
-/** Workers that are lost: their saved work goes on elsewhere, and their old heartbeats count for nothing. */
+/** Lost workers: their runs continue elsewhere from the latest checkpoint, and their delayed heartbeats are ignored. */
 import test from 'ava'
 import { report, step } from './sample-data.js'
-import { LeaderFixture, rows } from './leader-fixture.js'
+import { LeaderFixture, runningTasks } from './leader-fixture.js'
 import type { WorkerReport } from '../src/index.js'
 
-const SAVED = 'saved at half'
+const CHECKPOINT = 'saved at half'
 
-/** A worker with one run that has listed a checkpoint, and its rows. */
-function workerWithSavedRun (): { fixture: LeaderFixture, running: WorkerReport['running'] } {
+/** A worker with one run that has reported a checkpoint. */
+function createWorkerWithCheckpointedRun (): { fixture: LeaderFixture, running: WorkerReport['running'] } {
   const fixture = new LeaderFixture()
-  fixture.beat('w1')
+  fixture.heartbeat('w1')
   fixture.submit('j1', [step({ taskCount: 1, isCheckpointing: true, estimateMs: 60_000 })])
-  const running = rows(fixture.beat('w1')?.starts ?? [], 50).map(row => ({ ...row, checkpoint: SAVED }))
+  const running = runningTasks(fixture.heartbeat('w1')?.starts ?? [], 50).map(task => ({ ...task, checkpoint: CHECKPOINT }))
   fixture.advance(200)
-  fixture.beat('w1', { running })
+  fixture.heartbeat('w1', { running })
   return { fixture, running }
 }
 
-/** The checkpoint that the next start on another worker carries. */
+/** Checkpoint in the start order of the task's next run, on another worker. */
 function checkpointOfRestart (fixture: LeaderFixture): string | undefined {
-  fixture.beat('w2')
+  fixture.heartbeat('w2')
   fixture.advance(200)
-  return fixture.beat('w2')?.starts[0]?.checkpoint
+  return fixture.heartbeat('w2')?.starts[0]?.checkpoint
 }
 
-test('the checkpoint of a run survives the silence of its worker', t => {
-  const { fixture } = workerWithSavedRun()
+test('a run continues from its checkpoint after its worker fell silent', t => {
+  const { fixture } = createWorkerWithCheckpointedRun()
   for (let elapsedMs = 0; elapsedMs < 7_000; elapsedMs += 200) fixture.advance(200)
-  t.is(checkpointOfRestart(fixture), SAVED)
+  t.is(checkpointOfRestart(fixture), CHECKPOINT)
 })
 
-test('the checkpoint of a run survives a worker that leaves with it', t => {
-  const { fixture } = workerWithSavedRun()
-  fixture.tell({ kind: 'worker_left', requestId: 'left', workerId: 'w1' })
-  t.is(checkpointOfRestart(fixture), SAVED)
+test('a run continues from its checkpoint after its worker left', t => {
+  const { fixture } = createWorkerWithCheckpointedRun()
+  fixture.deliver({ kind: 'worker_left', requestId: 'left', workerId: 'w1' })
+  t.is(checkpointOfRestart(fixture), CHECKPOINT)
 })
 
-test('the checkpoint of a run survives a later life of its worker', t => {
-  const { fixture } = workerWithSavedRun()
+test('a run continues from its checkpoint after its worker restarted', t => {
+  const { fixture } = createWorkerWithCheckpointedRun()
   fixture.advance(200)
-  const orders = fixture.beat('w1', { incarnation: 2_000 })
-  t.is(orders?.starts[0]?.checkpoint, SAVED)
+  const orders = fixture.heartbeat('w1', { incarnation: 2_000 })
+  t.is(orders?.starts[0]?.checkpoint, CHECKPOINT)
 })
 
-test('the checkpoint of a run survives the lapse of its lease', t => {
-  const { fixture, running } = workerWithSavedRun()
+test('a run continues from its checkpoint after its lease lapsed', t => {
+  const { fixture, running } = createWorkerWithCheckpointedRun()
   const { taskKey, run } = running[0] as WorkerReport['running'][number]
   fixture.advance(6_300)
   const ends = [{ sequence: 1, taskKey, run, reason: 'lapsed' as const, checkpoint: '' }]
-  const orders = fixture.beat('w1', { ends })
-  t.is(orders?.starts[0]?.checkpoint, SAVED)
+  const orders = fixture.heartbeat('w1', { ends })
+  t.is(orders?.starts[0]?.checkpoint, CHECKPOINT)
 })
 
-const DONE = { sequence: 1, taskKey: 'j1.0.0.0', run: 1, reason: 'done' as const, checkpoint: '' }
+const DONE_END = { sequence: 1, taskKey: 'j1.0.0.0', run: 1, reason: 'done' as const, checkpoint: '' }
 
-test('an end in an old heartbeat is not acknowledged once its run was started elsewhere (own day slow-core, TWICE)', t => {
-  const { fixture } = workerWithSavedRun()
+test('a task does not end twice: an end in a delayed heartbeat is not acknowledged after the task was restarted elsewhere', t => {
+  const { fixture } = createWorkerWithCheckpointedRun()
   const endedMs = fixture.clock.monotonicMs() + 100
   for (let elapsedMs = 0; elapsedMs < 7_000; elapsedMs += 200) fixture.advance(200)
-  t.is(checkpointOfRestart(fixture), SAVED)
-  const old = fixture.beat('w1', { clockMs: endedMs, sequence: Math.round(endedMs), ends: [DONE] })
+  t.is(checkpointOfRestart(fixture), CHECKPOINT)
+  const old = fixture.heartbeat('w1', { clockMs: endedMs, sequence: Math.round(endedMs), ends: [DONE_END] })
   t.is(old?.recordedEndSequence ?? 0, 0)
-  // Its next heartbeat is in time and comes after the lease has run out, which voids the end.
+  // The next heartbeat is in time but comes after the lease has expired, which makes the end void.
   fixture.advance(200)
-  t.is(fixture.beat('w1', { ends: [DONE] })?.recordedEndSequence, 1)
+  t.is(fixture.heartbeat('w1', { ends: [DONE_END] })?.recordedEndSequence, 1)
 })
 
-test('ends in the first heartbeat that a leader hears wait for a second, since the first may be an old one', t => {
-  const { fixture } = workerWithSavedRun()
+test('ends in the first heartbeat to a new leader are recorded only after a second one, since the first may be delayed', t => {
+  const { fixture } = createWorkerWithCheckpointedRun()
   fixture.changeLeader()
-  t.is(fixture.beat('w1', { ends: [DONE] })?.recordedEndSequence, 0)
+  t.is(fixture.heartbeat('w1', { ends: [DONE_END] })?.recordedEndSequence, 0)
   t.is(fixture.state.job('j1')?.state, 'open')
   fixture.advance(200)
-  t.is(fixture.beat('w1', { ends: [DONE] })?.recordedEndSequence, 1)
+  t.is(fixture.heartbeat('w1', { ends: [DONE_END] })?.recordedEndSequence, 1)
   t.is(fixture.state.job('j1')?.state, 'completed')
 })
 
-test('heartbeats that come after a worker has left are not acknowledged (ferreyra-cuotas hunt, TWICE)', t => {
-  const { fixture } = workerWithSavedRun()
+test('a task does not end twice: ends in heartbeats that arrive after their worker has left are not acknowledged', t => {
+  const { fixture } = createWorkerWithCheckpointedRun()
   const endedMs = fixture.clock.monotonicMs() + 100
   fixture.advance(200)
-  fixture.tell({ kind: 'worker_left', requestId: 'left', workerId: 'w1' })
-  t.is(checkpointOfRestart(fixture), SAVED)
+  fixture.deliver({ kind: 'worker_left', requestId: 'left', workerId: 'w1' })
+  t.is(checkpointOfRestart(fixture), CHECKPOINT)
   for (const delayMs of [0, 100, 200]) {
     const clockMs = endedMs + delayMs
-    const orders = fixture.beat('w1', { state: 'leaving', clockMs, sequence: Math.round(clockMs), ends: [DONE] })
+    const orders = fixture.heartbeat('w1', { state: 'leaving', clockMs, sequence: Math.round(clockMs), ends: [DONE_END] })
     t.is(orders?.recordedEndSequence ?? 0, 0)
   }
-  // A later life of the same worker is taken.
-  t.not(fixture.beat('w1', { incarnation: 2_000 }), undefined)
+  // A later incarnation of the same worker is accepted.
+  t.not(fixture.heartbeat('w1', { incarnation: 2_000 }), undefined)
 })
 
-test('a worker that leaves while its heartbeat waits for an answer gets no further run', t => {
+test('a worker that leaves while its heartbeat waits for an answer gets no new run', t => {
   const fixture = new LeaderFixture()
-  fixture.beat('w1')
+  fixture.heartbeat('w1')
   fixture.advance(200)
   const now = fixture.clock.monotonicMs() + 1
-  fixture.send(report('w1', { clockMs: now, sequence: Math.round(now) + 1 }))
-  fixture.tell({ kind: 'worker_left', requestId: 'left', workerId: 'w1' })
+  fixture.sendReport(report('w1', { clockMs: now, sequence: Math.round(now) + 1 }))
+  fixture.deliver({ kind: 'worker_left', requestId: 'left', workerId: 'w1' })
   fixture.submit('j1', [step({ taskCount: 1 })])
   for (let elapsedMs = 0; elapsedMs < 1_000; elapsedMs += 50) fixture.advance(50)
   t.is([...fixture.state.runsOf('w1')].length, 0)
--- a/packages/batch/test/pending-reports.test.ts
+++ b/packages/batch/test/pending-reports.test.ts
@@ -1,16 +1,16 @@
-/** When heartbeats are answered, and how many there are in a large fleet. */
+/** When heartbeats are answered, and how often a large fleet sends them. */
 import test from 'ava'
 import { document, report, step } from './sample-data.js'
-import { LeaderFixture, rows } from './leader-fixture.js'
+import { LeaderFixture, runningTasks } from './leader-fixture.js'
 
-/** A fleet whose idle workers wait for work as in production. */
-function productionFixture (): LeaderFixture {
+/** A leader with default settings, under which idle workers wait for their answers. */
+function createProductionFixture (): LeaderFixture {
   return new LeaderFixture(document(), {})
 }
 
-test('work reaches an idle worker at once, since its heartbeat waits for it', t => {
-  const fixture = productionFixture()
-  const waiting = fixture.send(report('w1', { clockMs: 1, sequence: 1 }))
+test('a run reaches an idle worker at once, in the answer to a heartbeat that is being held', t => {
+  const fixture = createProductionFixture()
+  const waiting = fixture.sendReport(report('w1', { clockMs: 1, sequence: 1 }))
   fixture.advance(300)
   t.is(fixture.answerTo(waiting), undefined)
   fixture.submit('j1', [step({ taskCount: 1 })])
@@ -18,28 +18,28 @@
   t.is(fixture.answerTo(waiting)?.starts.length, 1)
 })
 
-test('the answer to an idle worker comes before the worker drops it', t => {
-  const fixture = productionFixture()
-  const waiting = fixture.send(report('w1', { clockMs: 1, sequence: 1 }))
+test('the heartbeat of an idle worker is answered before the worker gives up on the answer', t => {
+  const fixture = createProductionFixture()
+  const waiting = fixture.sendReport(report('w1', { clockMs: 1, sequence: 1 }))
   for (let waitedMs = 0; waitedMs < 700; waitedMs += 50) fixture.advance(50)
   t.deepEqual(fixture.answerTo(waiting)?.starts, [])
 })
 
-test('a worker with a run is answered soon, since it cannot list an end while a heartbeat is under way', t => {
-  const fixture = productionFixture()
-  fixture.send(report('w1', { clockMs: 1, sequence: 1 }))
+test('a worker with a run is answered soon, since it cannot report an end while a heartbeat is in flight', t => {
+  const fixture = createProductionFixture()
+  fixture.sendReport(report('w1', { clockMs: 1, sequence: 1 }))
   fixture.submit('j1', [step({ taskCount: 1, estimateMs: 60_000 })])
   fixture.advance(20)
-  const running = rows([{ taskKey: 'j1.0.0.0', run: 1, payload: '', checkpoint: '' }])
-  const busy = fixture.send(report('w1', { clockMs: 400, sequence: 2, running }))
+  const running = runningTasks([{ taskKey: 'j1.0.0.0', run: 1, payload: '', checkpoint: '' }])
+  const busy = fixture.sendReport(report('w1', { clockMs: 400, sequence: 2, running }))
   fixture.advance(100)
   t.not(fixture.answerTo(busy), undefined)
 })
 
-test('heartbeats of a large fleet stay within what the leader can take (sweep, 3,000 workers)', t => {
-  const fixture = productionFixture()
+test('the heartbeat interval of 3,000 workers keeps to the limit of heartbeats per second', t => {
+  const fixture = createProductionFixture()
   const leaving = (index: number) => report(`w${index}`, { clockMs: 1, sequence: 1, state: 'leaving' })
-  const requests = Array.from({ length: 3_000 }, (_, index) => fixture.send(leaving(index)))
+  const requests = Array.from({ length: 3_000 }, (_, index) => fixture.sendReport(leaving(index)))
   fixture.advance(100)
   const intervalMs = fixture.answerTo(requests.at(-1) ?? '')?.nextReportMs ?? 0
   t.true(3_000 * 1_000 / intervalMs <= 3_000, `${intervalMs} ms`)
--- a/packages/batch/test/sample-data.ts
+++ b/packages/batch/test/sample-data.ts
@@ -1,10 +1,10 @@
-/** Values that the tests of this package share. */
+/** Sample values for the tests of this package. */
 import type { JobSpec, QueueConfiguration, QueueDocument, StepSpec, WorkerReport } from '../src/index.js'
 
 export const HOST = 'print.example'
 export const KEY = 'key-a'
 
-/** A step of two small tasks; fields override. */
+/** A step of two small tasks, overridden by the given fields. */
 export function step (fields: Partial<StepSpec> = {}): StepSpec {
   return {
     taskCount: 2,
@@ -56,7 +56,7 @@
   }
 }
 
-/** A heartbeat of an idle worker with 8 accelerators. */
+/** Report of an idle worker with 8 accelerators. */
 export function report (workerId: string, fields: Partial<WorkerReport> = {}): WorkerReport {
   return {
     workerId,
