--- /dev/null
+++ b/packages/batch/src/order-planner.ts
@@ -0,0 +1,166 @@
+/** Orders for workers, which are sent in the answers to their heartbeats. */
+import type { Clock } from '@comfreygrade/core'
+import type { TicketCache } from './advice-tickets.js'
+import { taskRunKey, assignmentKey, type BatchState, type TaskContext } from './batch-state.js'
+import type { Assignment } from './commands.js'
+import { stepKeyOf } from './jobs.js'
+import { FillerPacing } from './filler-pacing.js'
+import type { BatchSettings } from './settings.js'
+import type { StartOrder, StopOrder, WorkerOrders } from './worker-messages.js'
+import type { WorkerView } from './worker-view.js'
+
+/** Options of {@link OrderPlanner}. */
+export interface OrderPlannerOptions {
+  readonly state: BatchState
+  readonly settings: BatchSettings
+  readonly clock: Clock
+  readonly tickets: TicketCache
+  readonly fencingToken: number
+}
+
+/**
+ * Derives orders from the replicated runs and a worker's latest report. A worker has one heartbeat in flight at a time,
+ * so where a start order was sent in the answer to one heartbeat and a later report lacks the run, the order was lost.
+ */
+export class OrderPlanner {
+  readonly #options: OrderPlannerOptions
+  readonly #termStartedAtMs: number
+  readonly #pacing: FillerPacing
+  /** Runs that this leader stops though their jobs are open. */
+  readonly #stopping = new Map<string, Assignment>()
+
+  constructor (options: OrderPlannerOptions) {
+    this.#options = options
+    this.#termStartedAtMs = options.clock.monotonicMs()
+    this.#pacing = new FillerPacing(options.state)
+  }
+
+  /** Stops a run and all members of its gang; their tasks wait for workers again afterwards. */
+  stop (run: Assignment): void {
+    for (const member of this.#gangRuns(run)) this.#stopping.set(assignmentKey(member), member)
+  }
+
+  #gangRuns (run: Assignment): Assignment[] {
+    const context = this.#options.state.findTask(run.taskKey)
+    if (context === undefined || !context.stepSpec.isGang) return [run]
+    const prefix = stepKeyOf(run.taskKey)
+    return context.step.tasks.flatMap((task, index) => task.active
+      .filter(active => active.run === run.run)
+      .map(active => ({ ...active, taskKey: `${prefix}.${index}` })))
+  }
+
+  /** Whether a run is being stopped. */
+  isStopping (run: Assignment): boolean {
+    if (this.#stopping.has(assignmentKey(run))) return true
+    const context = this.#options.state.findTask(run.taskKey)
+    return context === undefined || !shouldRun(context, run.run)
+  }
+
+  /** Removes the stops of runs that have ended. */
+  removeCompletedStops (): void {
+    for (const [key, run] of this.#stopping) {
+      const isKnown = [...this.#options.state.runsOf(run.workerId)].some(active => assignmentKey(active) === key)
+      if (!isKnown) this.#stopping.delete(key)
+    }
+  }
+
+  /** Whether any run may have reached this incarnation of the worker; runs without a sent start order have not. */
+  mayHoldRuns (view: WorkerView): boolean {
+    return this.#runsOf(view).some(run => !this.#isUnsent(view, run))
+  }
+
+  /** Runs being stopped that the worker certainly does not have. */
+  confirmedAbsentRuns (view: WorkerView): Assignment[] {
+    return this.#runsOf(view).filter(run =>
+      this.isStopping(run) && !isReported(view, run) && (this.#isUnsent(view, run) || this.#isMissing(view, run)))
+  }
+
+  /** The orders that answer the latest heartbeat of a worker. */
+  ordersFor (view: WorkerView): Omit<WorkerOrders, 'nextReportMs'> {
+    const { state, settings, fencingToken } = this.#options
+    const { latest } = view
+    const isExtended = view.leaseStatus !== 'uncertain'
+    if (isExtended) view.recordLeaseGrant(settings.leaseMs)
+    return {
+      ...(isExtended ? { leaseMs: settings.leaseMs } : {}),
+      recordedEndSequence: state.lastEndSequence(latest),
+      fencingToken,
+      starts: isExtended ? this.#startOrders(view) : [],
+      stops: this.#stopOrders(view),
+      paces: this.#pacing.ordersFor(view)
+    }
+  }
+
+  #startOrders (view: WorkerView): StartOrder[] {
+    const starts: StartOrder[] = []
+    for (const run of this.#runsOf(view)) {
+      if (this.isStopping(run) || isReported(view, run)) continue
+      if (!this.#isUnsent(view, run) && !this.#isMissing(view, run)) continue
+      const order = this.#createStartOrder(run)
+      if (order === undefined) continue
+      view.startSentAtSequence.set(assignmentKey(run), view.latest.sequence)
+      starts.push(order)
+    }
+    return starts
+  }
+
+  #createStartOrder (run: Assignment): StartOrder | undefined {
+    const { state, tickets } = this.#options
+    const context = state.findTask(run.taskKey)
+    if (context === undefined) return undefined
+    const { job, task } = context
+    const order = { taskKey: run.taskKey, run: run.run, payload: job.spec.payload, checkpoint: task.checkpoint }
+    if (state.directory?.at(job.queueAddress)?.advice === undefined) return order
+    const key = stepKeyOf(run.taskKey)
+    const ticket = tickets.ticketFor(key, run.workerId, run.incarnation)
+    if (ticket !== undefined) return { ...order, ticket }
+    this.stop(run)
+    return undefined
+  }
+
+  #stopOrders (view: WorkerView): StopOrder[] {
+    const known = new Map(this.#runsOf(view).map(run => [taskRunKey(run), run]))
+    const stops: StopOrder[] = []
+    for (const { taskKey, run } of view.latest.running) {
+      const active = known.get(taskRunKey({ taskKey, run }))
+      if (active === undefined || this.isStopping(active)) stops.push({ taskKey, run })
+    }
+    return stops
+  }
+
+  #runsOf (view: WorkerView): Assignment[] {
+    const { workerId, incarnation } = view.latest
+    return [...this.#options.state.runsOf(workerId)].filter(run => run.incarnation === incarnation)
+  }
+
+  /** Whether this is an assignment of this term whose start order was not sent yet. */
+  #isUnsent (view: WorkerView, run: Assignment): boolean {
+    return view.assignedInTerm.has(assignmentKey(run)) && !view.startSentAtSequence.has(assignmentKey(run))
+  }
+
+  #isMissing (view: WorkerView, run: Assignment): boolean {
+    // While a worker stops a run, it reports it neither as running nor as ended.
+    if (view.reportedRuns.has(taskRunKey(run))) return false
+    const sentAtSequence = view.startSentAtSequence.get(assignmentKey(run))
+    if (sentAtSequence !== undefined) return view.latest.sequence > sentAtSequence
+    if (this.#isInheritedRunGraceOver()) view.startSentAtSequence.set(assignmentKey(run), view.latest.sequence)
+    return false
+  }
+
+  /** At the start of a term, answers of an earlier leader may still be in flight. */
+  #isInheritedRunGraceOver (): boolean {
+    return this.#options.clock.monotonicMs() - this.#termStartedAtMs >= this.#options.settings.inheritedRunGraceMs
+  }
+}
+
+/** Whether a run should continue. A gang that has lost a member cannot, and its other members must not wait for it. */
+function shouldRun ({ job, stepSpec, step, task }: TaskContext, run: number): boolean {
+  if (job.state !== 'open' || task.isDone) return false
+  return !stepSpec.isGang || step.tasks.every(member => member.active.some(active => active.run === run))
+}
+
+function isReported (view: WorkerView, { taskKey, run }: Assignment): boolean {
+  const { running, ends } = view.latest
+  return running.some(task => task.taskKey === taskKey && task.run === run) ||
+    ends.some(end => end.taskKey === taskKey && end.run === run)
+}
--- /dev/null
+++ b/packages/batch/src/scheduling-order.ts
@@ -0,0 +1,31 @@
+/** The order in which a scheduling pass considers waiting steps. */
+import type { WaitingStep } from './waiting-steps.js'
+
+/** Scheduling order; each policy is a subclass. */
+export abstract class SchedulingOrder {
+  /** Negative where `left` comes first. */
+  abstract compare (left: WaitingStep, right: WaitingStep, nowWallMs: number): number
+}
+
+/** A result that is later than this multiple of its objective is of no use to the caller. */
+const USEFUL_OBJECTIVE_FACTOR = 3
+
+/**
+ * Earliest objective first within priorities, in three classes: steps that are guaranteed or can still meet their
+ * objective, then steps that are late but still useful, then the rest. Under overload this keeps late jobs from making
+ * all later jobs late as well.
+ */
+export class ObjectiveSchedulingOrder extends SchedulingOrder {
+  override compare (left: WaitingStep, right: WaitingStep, nowWallMs: number): number {
+    return urgencyClass(left, nowWallMs) - urgencyClass(right, nowWallMs) ||
+      left.priority - right.priority ||
+      left.objectiveWallMs - right.objectiveWallMs
+  }
+}
+
+function urgencyClass (step: WaitingStep, nowWallMs: number): number {
+  const endsAtMs = nowWallMs + step.remainingChainMs
+  if (endsAtMs <= step.objectiveWallMs || step.spec.isLasting || step.isGuaranteed) return 0
+  const usefulForMs = (step.objectiveWallMs - step.eligibleSinceWallMs) * USEFUL_OBJECTIVE_FACTOR
+  return endsAtMs <= step.eligibleSinceWallMs + usefulForMs ? 1 : 2
+}
--- /dev/null
+++ b/packages/batch/src/worker-selection.ts
@@ -0,0 +1,162 @@
+/** Selection of workers for the tasks of a step: gang placement, data locality, best fit. */
+import { stepKey } from './jobs.js'
+import { tasksThatFit, type WorkerCapacity } from './worker-capacity.js'
+import type { WaitingStep } from './waiting-steps.js'
+
+/** A task and the worker that it is placed on. */
+export interface TaskPlacement {
+  readonly taskIndex: number
+  readonly worker: WorkerCapacity
+}
+
+/** Workers that may run a step in this pass. */
+export interface Candidates {
+  readonly workers: readonly WorkerCapacity[]
+  /** Subsets of the workers; a gang must be placed within one of them. */
+  readonly groups: ReadonlyArray<readonly WorkerCapacity[]>
+}
+
+/** Longest wait for a better rack while other workers are idle, and for crashed workers to come back. */
+export const MAX_RACK_WAIT_MS = 2_000
+
+/**
+ * Narrows the eligible workers by data locality and groups them for gangs; `maxRackWaitMs` bounds the wait for a better
+ * rack.
+ *
+ * @example
+ * const eligible = workers.filter(worker => worker.view.latest.service === step.job.service)
+ * const candidates = findCandidates(step, eligible, Infinity)
+ */
+export function findCandidates (
+  step: WaitingStep, eligible: readonly WorkerCapacity[], maxRackWaitMs: number
+): Candidates {
+  const workers = preferDataRack(step, eligible, maxRackWaitMs)
+  return { workers, groups: step.spec.isGang ? placementGroups(step, workers) : [workers] }
+}
+
+/** Candidates that consist of one group. */
+export function asSingleGroup (workers: readonly WorkerCapacity[]): Candidates {
+  return { workers, groups: [workers] }
+}
+
+/**
+ * Places the waiting tasks: all members of a gang or none; of other steps, as many as fit. The capacity of the placed
+ * tasks is deducted from the workers.
+ */
+export function placeTasks (step: WaitingStep, { workers, groups }: Candidates): TaskPlacement[] {
+  return step.spec.isGang ? placeGang(step, groups) : placeEach(step, workers)
+}
+
+/**
+ * One group per rack for a same-rack gang, otherwise one group of all workers. A gang wider than any rack is spread
+ * over several, since it would never start otherwise. It then runs several times as long, so it first waits for lost
+ * workers to come back.
+ */
+function placementGroups (
+  step: WaitingStep, workers: readonly WorkerCapacity[]
+): ReadonlyArray<readonly WorkerCapacity[]> {
+  if (!step.spec.isSameRack) return [workers]
+  const racks = [...groupByRack(workers).values()].filter(rackWorkers => couldHoldAllTasks(step, rackWorkers))
+  if (racks.length > 0) return racks
+  return step.waitedMs >= MAX_RACK_WAIT_MS ? [workers] : []
+}
+
+/** Whether the workers could hold all waiting tasks if they were empty. */
+function couldHoldAllTasks ({ spec, taskIndexes }: WaitingStep, workers: readonly WorkerCapacity[]): boolean {
+  const limit = spec.maxTasksPerWorker > 0 ? spec.maxTasksPerWorker : Infinity
+  let taskCapacity = 0
+  for (const worker of workers) taskCapacity += Math.min(limit, tasksThatFit(worker.view.latest.capacity, spec))
+  return taskCapacity >= taskIndexes.length
+}
+
+export function waitingStepKey (step: WaitingStep): string {
+  return stepKey(step.job.spec.jobId, step.occurrence, step.stepIndex)
+}
+
+function groupByRack (workers: readonly WorkerCapacity[]): Map<string, WorkerCapacity[]> {
+  const racks = new Map<string, WorkerCapacity[]>()
+  for (const worker of workers) {
+    const { rack } = worker.view.latest
+    const group = racks.get(rack)
+    if (group === undefined) racks.set(rack, [worker])
+    else group.push(worker)
+  }
+  return racks
+}
+
+/** Returns the capacity of placements that are not used. */
+export function undoPlacements (step: WaitingStep, placements: readonly TaskPlacement[]): void {
+  for (const { worker } of placements) worker.unplace(waitingStepKey(step), step.spec)
+}
+
+/** Takes the group with the fewest free accelerators, so that other groups keep capacity for wide gangs. */
+function placeGang (step: WaitingStep, groups: ReadonlyArray<readonly WorkerCapacity[]>): TaskPlacement[] {
+  let best: TaskPlacement[] = []
+  let bestFree = Infinity
+  for (const workers of groups) {
+    const placements = placeEach(step, workers)
+    const free = workers.reduce((sum, worker) => sum + worker.free.acceleratorCount, 0)
+    undoPlacements(step, placements)
+    if (placements.length < step.taskIndexes.length || free >= bestFree) continue
+    best = placements
+    bestFree = free
+  }
+  for (const { worker } of best) worker.place(waitingStepKey(step), step.spec)
+  return best
+}
+
+/** A run away from its data takes several times as long, so it waits for the data's rack for up to one run time. */
+function preferDataRack (
+  step: WaitingStep, eligible: readonly WorkerCapacity[], maxRackWaitMs: number
+): readonly WorkerCapacity[] {
+  const { dataRack, estimateMs } = step.spec
+  if (dataRack === '' || step.waitedMs > Math.min(estimateMs, maxRackWaitMs)) return eligible
+  const near = eligible.filter(worker => worker.view.latest.rack === dataRack)
+  return near.length > 0 ? near : eligible
+}
+
+function placeEach (step: WaitingStep, eligible: readonly WorkerCapacity[]): TaskPlacement[] {
+  const placements: TaskPlacement[] = []
+  for (const index of step.taskIndexes) {
+    const worker = findBestFit(step, eligible, step.failedOn(index))
+    if (worker === undefined) break
+    worker.place(waitingStepKey(step), step.spec)
+    placements.push({ taskIndex: index, worker })
+  }
+  return placements
+}
+
+/** Best fit: the admissible worker with the least capacity left over. */
+function findBestFit (
+  step: WaitingStep, eligible: readonly WorkerCapacity[], failedOn: readonly string[]
+): WorkerCapacity | undefined {
+  const limit = step.spec.maxTasksPerWorker
+  const key = waitingStepKey(step)
+  let best: WorkerCapacity | undefined
+  let lowestScore = Infinity
+  for (const worker of eligible) {
+    if (!worker.admits(step.spec) || (limit > 0 && worker.taskCountOf(key) >= limit)) continue
+    const score = bestFitScore(worker, step) + (failedOn.includes(worker.workerId) ? EARLIER_FAILURE_PENALTY : 0)
+    if (score >= lowestScore) continue
+    best = worker
+    lowestScore = score
+  }
+  return best
+}
+
+/** Added to the score of a worker whose rack does not hold the step's data. */
+const REMOTE_DATA_PENALTY = 10
+/** Added for a worker on which the task failed before, so that a faulty worker does not use up the task's attempts. */
+const EARLIER_FAILURE_PENALTY = 100
+/** Accelerators are the scarcest resource, so free ones weigh more than free memory or processors. */
+const ACCELERATOR_WEIGHT = 2
+
+function bestFitScore (worker: WorkerCapacity, step: WaitingStep): number {
+  const { capacity, rack } = worker.view.latest
+  const { free } = worker
+  const accelerators = free.acceleratorCount / Math.max(1, capacity.acceleratorCount)
+  const memory = free.memoryMb / Math.max(1, capacity.memoryMb)
+  const cpu = free.cpuMillicores / Math.max(1, capacity.cpuMillicores)
+  const isRemoteFromData = step.spec.dataRack !== '' && rack !== step.spec.dataRack
+  return accelerators * ACCELERATOR_WEIGHT + memory + cpu + (isRemoteFromData ? REMOTE_DATA_PENALTY : 0)
+}
