--- a/packages/node/src/adapters.ts
+++ b/packages/node/src/adapters.ts
@@ -1,4 +1,4 @@
-/** Adapters that other processes of the system share: links, disk, replica and clock. */
+/** Adapters shared with other processes of the system: links, storage, replica and clock. */
 export { readOrCreateDiskId } from './disk-id.js'
 export { FileLog } from './file-log.js'
 export { PeerLinks, type PeerAddress } from './peer-links.js'
--- a/packages/node/src/application.ts
+++ b/packages/node/src/application.ts
@@ -1,9 +1,9 @@
-/** What front ends may ask of a node; `HttpApi` is one front end. */
+/** Port through which front ends such as `HttpApi` use a node. */
 import type { BackendServerRecord, Failure, RequestSpec, Result, Rules } from '@comfreygrade/core'
 import type { ControlOperation, ControlResult } from '@comfreygrade/control'
-import type { RequestAnswer } from './request-service.js'
+import type { RequestResult } from './request-service.js'
 
-/** State of one node for operators. */
+/** Status of one node, for operators. */
 export interface NodeStatus {
   readonly nodeId: string
   readonly region: string
@@ -17,7 +17,7 @@
     readonly role: string
     readonly term: number
     readonly commitIndex: number
-    /** Control nodes that may be lost now with nothing lost; null on a node that does not lead. */
+    /** Number of control nodes that can fail now without loss of committed data; null unless this node leads. */
     readonly survivableLosses: number | null
   } | null
   readonly connectedNodeIds: readonly string[]
@@ -29,32 +29,32 @@
   readonly counters: Readonly<Record<string, number>>
 }
 
-/** A heartbeat as a backend server sends it. */
+/** Content of a backend server's heartbeat. */
 export type BackendServerAnnouncement = Omit<BackendServerRecord, 'state'>
 
-/** Intervals that a backend server has to keep. */
-export interface HeartbeatTerms {
+/** Heartbeat interval that a backend server must keep, and the silence after which it expires. */
+export interface HeartbeatIntervals {
   readonly heartbeatIntervalMs: number
   readonly expireAfterMs: number
 }
 
-/** The port between front ends and a node. */
+/** Operations that a node offers to its front ends. */
 export abstract class Application {
-  /** Rules in force, or the reason why this node takes no new work. */
+  /** Rules in force, or the reason why this node admits no new requests. */
   abstract admission (): Result<Rules>
   /** Monotonic time in milliseconds, for deadlines. */
   abstract nowMs (): number
-  /** Runs a short request. */
-  abstract execute (
+  /** Executes a short request; `onCancel` receives a function to call when the caller disconnects. */
+  abstract executeRequest (
     spec: RequestSpec, body: Buffer, onCancel: (cancel: () => void) => void
-  ): Promise<Result<RequestAnswer>>
-  /** Asks the control leader. */
-  abstract ask (operation: ControlOperation): Promise<ControlResult>
-  /** Takes a backend server's heartbeat. */
-  abstract announceBackendServer (announcement: BackendServerAnnouncement): HeartbeatTerms
-  /** Ends new work to a backend server. */
-  abstract leaveBackendServer (backendServerId: string): Failure | undefined
-  /** Backend servers known to this node. */
+  ): Promise<Result<RequestResult>>
+  /** Executes an operation on the control leader. */
+  abstract executeOperation (operation: ControlOperation): Promise<ControlResult>
+  /** Records a backend server's heartbeat. */
+  abstract announceBackendServer (announcement: BackendServerAnnouncement): HeartbeatIntervals
+  /** Marks a backend server as leaving, so that it gets no new requests. */
+  abstract deregisterBackendServer (backendServerId: string): Failure | undefined
+  /** Backend servers that this node knows. */
   abstract backendServers (): readonly BackendServerRecord[]
   abstract status (): NodeStatus
 }
--- a/packages/node/src/backend-client.ts
+++ b/packages/node/src/backend-client.ts
@@ -3,7 +3,7 @@
 import type { BackendServerRecord, SendProgress } from '@comfreygrade/core'
 import type { AttemptFailureReason } from '@comfreygrade/routing'
 
-/** A backend server's complete answer. */
+/** Complete answer of a backend server. */
 export interface BackendAnswer {
   readonly status: number
   readonly contentType: string
@@ -15,7 +15,7 @@
   | { readonly kind: 'answered', readonly answer: BackendAnswer }
   | { readonly kind: 'failed', readonly progress: SendProgress, readonly reason: AttemptFailureReason }
 
-/** One attempt to send. */
+/** Parameters of one attempt to send a request. */
 export interface Attempt {
   readonly backendServer: BackendServerRecord
   readonly service: string
@@ -24,23 +24,23 @@
   readonly timeoutMs: number
 }
 
-/** An attempt under way. */
+/** An attempt in progress. */
 export interface PendingAttempt {
   readonly result: Promise<AttemptResult>
-  /** Closes the connection; the result is then a failure. */
+  /** Aborts the attempt, which then results in a failure. */
   readonly abort: () => void
 }
 
-/** Limits of {@link BackendClient}. */
+/** Options of {@link BackendClient}. */
 export interface BackendClientOptions {
   readonly maxAnswerBytes: number
   readonly connectTimeoutMs: number
 }
 
-/** Header by which a backend server states that it did not run the work. */
+/** Header with which a backend server states that it did not execute the request. */
 export const NOT_RUN_HEADER = 'comfreygrade-not-run'
 
-/** Keeps connections to backend servers and reports for each attempt whether it may have been sent. */
+/** Sends attempts over pooled connections and reports for each failure whether the request may have been sent. */
 export class BackendClient {
   readonly #agent: Agent
   readonly #options: BackendClientOptions
@@ -49,10 +49,10 @@
     this.#options = options
     this.#agent = new Agent({
       connect: { timeout: options.connectTimeoutMs },
-      // The router bounds connections per server; a second limit here would queue without a deadline.
+      // The router limits the connections per server; a limit here would add a queue without deadlines.
       connections: null,
       pipelining: 1,
-      // Attempts have their own timeout.
+      // `timeoutMs` of the attempt applies instead.
       headersTimeout: 0,
       bodyTimeout: 0,
       keepAliveTimeout: 4_000
@@ -80,7 +80,7 @@
   }
 }
 
-/** Collects one answer and remembers whether the request was handed to a connection. */
+/** Collects one answer and tracks whether the request was passed to a connection. */
 class AttemptHandler implements Dispatcher.DispatchHandler {
   readonly result: Promise<AttemptResult>
   readonly #maxAnswerBytes: number
@@ -119,7 +119,7 @@
     status: number,
     headers: Record<string, string | string[] | undefined>
   ): void {
-    // Interim answers such as 100 carry no result.
+    // Skips informational responses such as 100 Continue.
     if (status < 200) return
     this.#status = status
     this.#contentType = String(headers['content-type'] ?? 'application/octet-stream')
@@ -129,7 +129,7 @@
   onResponseData (controller: Dispatcher.DispatchController, chunk: Buffer): void {
     this.#receivedBytes += chunk.length
     if (this.#receivedBytes > this.#maxAnswerBytes) {
-      controller.abort(new Error('the answer is too large'))
+      controller.abort(new Error('the answer exceeds the size limit'))
       return
     }
     this.#chunks.push(chunk)
--- a/packages/node/src/configuration-feed.ts
+++ b/packages/node/src/configuration-feed.ts
@@ -1,4 +1,4 @@
-/** The control leader's side of the configuration feed: content, leases and pushes. */
+/** Leader's side of the configuration feed: changes, drains and leases for every node. */
 import { toDocument, type Clock } from '@comfreygrade/core'
 import type { ConfigurationStatus, ControlState } from '@comfreygrade/control'
 import { NodeLeases } from './node-leases.js'
@@ -14,11 +14,11 @@
   readonly leaseMs: number
   readonly clock: Clock
   readonly send: (nodeId: string, message: PeerMessage) => boolean
-  /** Delivers a feed to this node's own copy. */
-  readonly feedLocal: (feed: Feed) => void
+  /** Delivers a feed to this node's own configuration replica. */
+  readonly deliverFeedLocally: (feed: Feed) => void
 }
 
-/** Feeds every node while this one leads. */
+/** Distributes the configuration to every node while this node leads. */
 export class ConfigurationFeed {
   readonly #options: ConfigurationFeedOptions
   readonly #leases: NodeLeases
@@ -28,41 +28,41 @@
     this.#leases = new NodeLeases(options.nodeIds, options.leaseMs)
   }
 
-  /** Starts a term. */
-  restart (): void {
-    this.#leases.restart(this.#options.clock.monotonicMs())
+  /** Starts a term; leases of the former leader may still be valid. */
+  startTerm (): void {
+    this.#leases.startTerm(this.#options.clock.monotonicMs())
   }
 
-  /** Answers a node's request, which also renews its lease. */
+  /** Answers a feed request, which also renews the lease of the node. */
   answer (nodeId: string, request: FeedRequest, state: ControlState, term: number): Feed {
     this.#leases.renew(nodeId, request.version, state.configuration.version, this.#options.clock.monotonicMs())
-    return this.#compose(request.version, request.sentAtMs, state, term)
+    return this.#createFeed(request.version, request.sentAtMs, state, term)
   }
 
-  /** Sends what is new without waiting for requests, so that a change is in force within a round trip. */
+  /** Pushes new changes without waiting for feed requests, so that a change is in force within one round trip. */
   push (state: ControlState, term: number): void {
-    const { selfNodeId, nodeIds, send, feedLocal } = this.#options
+    const { selfNodeId, nodeIds, send, deliverFeedLocally } = this.#options
     for (const nodeId of nodeIds) {
-      const feed = this.#compose(this.#leases.acknowledgedVersion(nodeId), null, state, term)
-      if (nodeId === selfNodeId) feedLocal(feed)
+      const feed = this.#createFeed(this.#leases.acknowledgedVersion(nodeId), null, state, term)
+      if (nodeId === selfNodeId) deliverFeedLocally(feed)
       else send(nodeId, feed)
     }
   }
 
-  /** How far a version has spread. */
+  /** Which nodes have acknowledged a version, and whether it is in force everywhere. */
   status (version: number): ConfigurationStatus {
     return this.#leases.status(version, this.#options.clock.monotonicMs())
   }
 
-  #compose (sinceVersion: number, requestSentAtMs: number | null, state: ControlState, term: number): Feed {
+  #createFeed (sinceVersion: number, requestSentAtMs: number | null, state: ControlState, term: number): Feed {
     const { selfNodeId, leaseMs } = this.#options
     const drains = state.drains()
-    const content = contentSince(sinceVersion, state)
+    const content = createContentSince(sinceVersion, state)
     return { kind: 'feed', term, leaderNodeId: selfNodeId, content, drains, requestSentAtMs, leaseMs }
   }
 }
 
-function contentSince (baseVersion: number, state: ControlState): FeedContent {
+function createContentSince (baseVersion: number, state: ControlState): FeedContent {
   const changes = state.changesSince(baseVersion)
   if (changes !== undefined) return { kind: 'changes', baseVersion, changes }
   return { kind: 'full', version: state.configuration.version, document: toDocument(state.configuration) }
--- a/packages/node/src/configuration-replica.ts
+++ b/packages/node/src/configuration-replica.ts
@@ -1,4 +1,4 @@
-/** The configuration that one node serves under, held by a lease of the control leader. */
+/** A node's copy of the configuration, which it may serve under while it holds a lease of the control leader. */
 import {
   applyChange, emptyConfiguration, fromDocument, type Clock, type Configuration, type EventLog
 } from '@comfreygrade/core'
@@ -7,10 +7,10 @@
 
 type Feed = Extract<PeerMessage, { kind: 'feed' }>
 
-/** Called after the configuration or the drains changed. */
+/** Called after a change of the configuration or of the drains. */
 export type ConfigurationListener = (configuration: Configuration, drains: readonly Drain[]) => void
 
-/** Copy of the configuration in force; it never goes back to an older version or term. */
+/** Copy of the configuration in force; version and term never decrease. */
 export class ConfigurationReplica {
   readonly #clock: Clock
   readonly #log: EventLog
@@ -19,7 +19,7 @@
   #drains: readonly Drain[] = []
   #term = 0
   #leaderNodeId: string | null = null
-  #leaseUntilMs = -Infinity
+  #leaseExpiresAtMs = -Infinity
 
   constructor (clock: Clock, log: EventLog) {
     this.#clock = clock
@@ -39,17 +39,16 @@
     return this.#leaderNodeId
   }
 
-  /** Whether this node may answer from its copy. */
+  /** Whether this node may serve under its copy. */
   get hasLease (): boolean {
-    return this.#clock.monotonicMs() < this.#leaseUntilMs
+    return this.#clock.monotonicMs() < this.#leaseExpiresAtMs
   }
 
-  /** Registers a listener. */
   onChange (listener: ConfigurationListener): void {
     this.#listeners.push(listener)
   }
 
-  /** Takes what the leader sent; content of an older term or version changes nothing. */
+  /** Applies a feed of the leader; one of an older term, or content of an older version, has no effect. */
   receive (feed: Feed): void {
     if (feed.term < this.#term) return
     if (feed.leaderNodeId !== this.#leaderNodeId) {
@@ -57,15 +56,15 @@
     }
     this.#term = feed.term
     this.#leaderNodeId = feed.leaderNodeId
-    const isCurrent = this.#takeContent(feed.content)
+    const isCurrent = this.#applyContent(feed.content)
     if (isCurrent && feed.requestSentAtMs !== null) {
-      this.#leaseUntilMs = Math.max(this.#leaseUntilMs, feed.requestSentAtMs + feed.leaseMs)
+      this.#leaseExpiresAtMs = Math.max(this.#leaseExpiresAtMs, feed.requestSentAtMs + feed.leaseMs)
     }
-    if (isCurrent) this.#takeDrains(feed.drains)
+    if (isCurrent) this.#applyDrains(feed.drains)
   }
 
-  /** Whether the copy is as new as the content after taking it. */
-  #takeContent (content: FeedContent): boolean {
+  /** Returns whether the copy is at the version of the content afterwards. */
+  #applyContent (content: FeedContent): boolean {
     if (content.kind === 'full') {
       if (content.version > this.#configuration.version) {
         this.#replace(fromDocument(content.document, content.version))
@@ -87,16 +86,16 @@
   #replace (next: Configuration): void {
     this.#configuration = next
     this.#log.info('configuration in force', { version: next.version })
-    this.#notify()
+    this.#notifyListeners()
   }
 
-  #takeDrains (drains: readonly Drain[]): void {
+  #applyDrains (drains: readonly Drain[]): void {
     if (JSON.stringify(drains) === JSON.stringify(this.#drains)) return
     this.#drains = drains
-    this.#notify()
+    this.#notifyListeners()
   }
 
-  #notify (): void {
+  #notifyListeners (): void {
     for (const listener of this.#listeners) listener(this.#configuration, this.#drains)
   }
 }
--- a/packages/node/src/control-client.ts
+++ b/packages/node/src/control-client.ts
@@ -1,6 +1,6 @@
-/** Asks the control leader on behalf of callers, workers and operators of this node. */
+/** Executes operations on the control leader for the callers, workers and operators of this node. */
 import { randomUUID } from 'node:crypto'
-import { setTimeout as pause } from 'node:timers/promises'
+import { setTimeout as delay } from 'node:timers/promises'
 import { fail, type Clock, type Metrics } from '@comfreygrade/core'
 import type { ControlOperation, ControlResult } from '@comfreygrade/control'
 import type { PeerMessage } from './peer-messages.js'
@@ -10,118 +10,118 @@
   readonly nodeId: string
   readonly timeoutMs: number
   /**
-   * Time after which one attempt is given up. Requests and answers travel on two links, so the link of the answer may
-   * be silent although the one of the request is new.
+   * Timeout of a single attempt. Requests and responses use separate links, so a response can get lost on a dead link
+   * although the link of the request is up.
    */
   readonly attemptTimeoutMs: number
   readonly clock: Clock
   readonly metrics: Metrics
-  /** Where the leader is believed to be. */
+  /** The leader known to this node. */
   readonly leaderNodeId: () => string | null
   readonly send: (nodeId: string, message: PeerMessage) => boolean
-  /** Answers an operation on this node when it is the leader. */
-  readonly askLocal: (operation: ControlOperation) => Promise<ControlResult>
+  /** Executes an operation on this node, for when it is the leader. */
+  readonly executeLocally: (operation: ControlOperation) => Promise<ControlResult>
 }
 
-interface PendingAsk {
+interface PendingRequest {
   readonly nodeId: string
-  readonly finish: (reply: Reply) => void
+  readonly finish: (outcome: AttemptOutcome) => void
 }
 
-type Reply =
+type AttemptOutcome =
   | { readonly kind: 'answered', readonly result: ControlResult }
-  /** The operation certainly did not take effect. */
-  | { readonly kind: 'not_taken', readonly detail: string }
+  /** The operation definitely did not take effect. */
+  | { readonly kind: 'not_applied', readonly detail: string }
   | { readonly kind: 'unknown', readonly detail: string }
 
-/** Pause before a leader is looked for again. */
-const LEADER_RETRY_MS = 100
+/** Delay before the next attempt. */
+const LEADER_RETRY_DELAY_MS = 100
 
-/** Finds the leader, asks it, and tells truthfully when the outcome of an operation is not known. */
+/** Sends operations to the control leader with retries, and reports when the outcome of an operation is unknown. */
 export class ControlClient {
   readonly #options: ControlClientOptions
-  readonly #pending = new Map<string, PendingAsk>()
+  readonly #pendingRequests = new Map<string, PendingRequest>()
 
   constructor (options: ControlClientOptions) {
     this.#options = options
   }
 
   /**
-   * Asks the leader, and asks again within the timeout while no answer comes. Every operation may be repeated: jobs and
-   * changes have numbers of their own, and a claim names its claimant.
+   * Executes an operation on the leader and retries until the timeout. Retries are safe because every operation is
+   * idempotent: jobs have IDs, changes have versions, and a claim names its claimant.
    */
-  async ask (operation: ControlOperation, timeoutMs = this.#options.timeoutMs): Promise<ControlResult> {
+  async execute (operation: ControlOperation, timeoutMs = this.#options.timeoutMs): Promise<ControlResult> {
     const deadlineMs = this.#options.clock.monotonicMs() + timeoutMs
     let unknownDetail: string | undefined
     for (;;) {
-      const reply = await this.#askOnce(operation, deadlineMs)
-      if (reply.kind === 'answered') return reply.result
-      if (reply.kind === 'unknown') unknownDetail = reply.detail
+      const outcome = await this.#attempt(operation, deadlineMs)
+      if (outcome.kind === 'answered') return outcome.result
+      if (outcome.kind === 'unknown') unknownDetail = outcome.detail
       const remainingMs = deadlineMs - this.#options.clock.monotonicMs()
-      if (remainingMs <= LEADER_RETRY_MS) return giveUp(reply.detail, unknownDetail)
-      this.#options.metrics.increment('retry', { reason: reply.kind === 'unknown' ? 'leader_silent' : 'leader_unknown' })
-      await pause(LEADER_RETRY_MS)
+      if (remainingMs <= LEADER_RETRY_DELAY_MS) return createTimeoutFailure(outcome.detail, unknownDetail)
+      this.#options.metrics.increment('retry', { reason: outcome.kind === 'unknown' ? 'leader_silent' : 'leader_unknown' })
+      await delay(LEADER_RETRY_DELAY_MS)
     }
   }
 
-  /** Takes a leader's answer. */
+  /** Handles a response of the leader. */
   receive (message: Extract<PeerMessage, { kind: 'control_response' }>): void {
-    this.#pending.get(message.requestId)?.finish(classify(message.result))
+    this.#pendingRequests.get(message.requestId)?.finish(classifyResult(message.result))
   }
 
-  /** Ends everything that waits for a node whose link is gone. */
-  disconnected (nodeId: string): void {
-    for (const pending of this.#pending.values()) {
+  /** Ends the attempts that wait for a response of a node whose link is down. */
+  onDisconnect (nodeId: string): void {
+    for (const pending of this.#pendingRequests.values()) {
       if (pending.nodeId === nodeId) pending.finish({ kind: 'unknown', detail: `the link to ${nodeId} was lost` })
     }
   }
 
-  async #askOnce (operation: ControlOperation, deadlineMs: number): Promise<Reply> {
-    const { nodeId, leaderNodeId, askLocal } = this.#options
+  async #attempt (operation: ControlOperation, deadlineMs: number): Promise<AttemptOutcome> {
+    const { nodeId, leaderNodeId, executeLocally } = this.#options
     const leader = leaderNodeId()
-    if (leader === null) return { kind: 'not_taken', detail: 'no control leader is known' }
+    if (leader === null) return { kind: 'not_applied', detail: 'no control leader is known' }
     const remainingMs = Math.min(deadlineMs - this.#options.clock.monotonicMs(), this.#options.attemptTimeoutMs)
-    if (leader === nodeId) return await withTimeout(askLocal(operation), remainingMs)
-    return await this.#askPeer(leader, operation, remainingMs)
+    if (leader === nodeId) return await withTimeout(executeLocally(operation), remainingMs)
+    return await this.#requestPeer(leader, operation, remainingMs)
   }
 
-  async #askPeer (nodeId: string, operation: ControlOperation, timeoutMs: number): Promise<Reply> {
+  async #requestPeer (nodeId: string, operation: ControlOperation, timeoutMs: number): Promise<AttemptOutcome> {
     const requestId = randomUUID()
-    return await new Promise<Reply>(resolve => {
-      const timer = setTimeout(() => { finish({ kind: 'unknown', detail: 'no answer in time' }) }, timeoutMs)
-      const finish = (reply: Reply): void => {
+    return await new Promise<AttemptOutcome>(resolve => {
+      const timer = setTimeout(() => { finish({ kind: 'unknown', detail: 'no answer within the timeout' }) }, timeoutMs)
+      const finish = (outcome: AttemptOutcome): void => {
         clearTimeout(timer)
-        this.#pending.delete(requestId)
-        resolve(reply)
+        this.#pendingRequests.delete(requestId)
+        resolve(outcome)
       }
-      this.#pending.set(requestId, { nodeId, finish })
+      this.#pendingRequests.set(requestId, { nodeId, finish })
       if (!this.#options.send(nodeId, { kind: 'control_request', requestId, operation })) {
-        finish({ kind: 'not_taken', detail: `the link to control leader ${nodeId} is down` })
+        finish({ kind: 'not_applied', detail: `the link to control leader ${nodeId} is down` })
       }
     })
   }
 }
 
-/** A node that does not lead took nothing; a leader that lost its role cannot tell. */
-function classify (result: ControlResult): Reply {
+/** A node that does not lead has not applied the operation; for a leader that lost its role the outcome is unknown. */
+function classifyResult (result: ControlResult): AttemptOutcome {
   if (result.ok) return { kind: 'answered', result }
   const { kind, detail } = result.failure
-  if (kind === 'not_leader' || kind === 'control_unavailable') return { kind: 'not_taken', detail }
+  if (kind === 'not_leader' || kind === 'control_unavailable') return { kind: 'not_applied', detail }
   if (kind === 'outcome_unknown') return { kind: 'unknown', detail }
   return { kind: 'answered', result }
 }
 
-/** One attempt that may have been taken makes the outcome unknown, whatever became of the later ones. */
-function giveUp (detail: string, unknownDetail: string | undefined): ControlResult {
+/** One attempt with an unknown outcome makes the outcome of the operation unknown, even if later attempts failed. */
+function createTimeoutFailure (detail: string, unknownDetail: string | undefined): ControlResult {
   return unknownDetail === undefined ? fail('control_unavailable', detail) : fail('outcome_unknown', unknownDetail)
 }
 
-async function withTimeout (result: Promise<ControlResult>, timeoutMs: number): Promise<Reply> {
-  return await new Promise<Reply>(resolve => {
-    const timer = setTimeout(() => { resolve({ kind: 'unknown', detail: 'no answer in time' }) }, timeoutMs)
-    result.then(value => {
+async function withTimeout (result: Promise<ControlResult>, timeoutMs: number): Promise<AttemptOutcome> {
+  return await new Promise<AttemptOutcome>(resolve => {
+    const timer = setTimeout(() => { resolve({ kind: 'unknown', detail: 'no answer within the timeout' }) }, timeoutMs)
+    result.then(controlResult => {
       clearTimeout(timer)
-      resolve(classify(value))
+      resolve(classifyResult(controlResult))
     })
   })
 }
--- a/packages/node/src/control-service.ts
+++ b/packages/node/src/control-service.ts
@@ -1,4 +1,4 @@
-/** Control role of a node: replicated log, control state, and the leader's work while this node leads. */
+/** Control role of a node: replicated log, control state, and the control leader while this node leads. */
 import { randomUUID } from 'node:crypto'
 import { fail, type Clock, type EventLog, type Metrics, type Random } from '@comfreygrade/core'
 import {
@@ -12,7 +12,7 @@
 import { ConfigurationFeed } from './configuration-feed.js'
 import type { PeerMessage } from './peer-messages.js'
 import { ReplicaHost, StateMachine } from './replica-host.js'
-import { decideBootstrap, findReplacedVoter, isVoterSetSettled, type ControlPeer } from './voter-bootstrap.js'
+import { decideBootstrap, findReplacedVoter, isVoterSetStable, type ControlPeer } from './voter-bootstrap.js'
 import type { WorkerClient } from './worker-client.js'
 
 type Feed = Extract<PeerMessage, { kind: 'feed' }>
@@ -32,7 +32,7 @@
   readonly nodeIds: readonly string[]
   readonly controlNodeIds: readonly string[]
   readonly storage: LogStorage<ControlCommand>
-  /** What the disk held at start; null in an empty data folder. */
+  /** The recovered log; null if the data folder is empty. */
   readonly recovered: RecoveredLog<ControlCommand> | null
   readonly snapshotCodec: SnapshotCodec
   readonly snapshotAfterEntries: number
@@ -48,16 +48,16 @@
   readonly log: EventLog
   readonly send: (nodeId: string, message: PeerMessage) => boolean
   /** Delivers a feed to this node's own configuration replica. */
-  readonly feedLocal: (feed: Feed) => void
+  readonly deliverFeedLocally: (feed: Feed) => void
   readonly storageFailed: (error: unknown) => void
 }
 
-/** Runs consensus and control on a node with a disk. */
+/** Runs the consensus replica and the control state machine of a control node. */
 export class ControlService extends StateMachine<ControlCommand> {
   readonly #options: ControlServiceOptions
   readonly #peers = new Map<string, ControlPeer>()
   readonly #feed: ConfigurationFeed
-  readonly #pending = new Map<string, (result: ControlResult) => void>()
+  readonly #pendingOperations = new Map<string, (result: ControlResult) => void>()
   readonly #host: ReplicaHost<ControlCommand>
   #state: ControlState
   #leader: ControlLeader | undefined
@@ -71,80 +71,80 @@
       leaseMs: options.configurationLeaseMs,
       ...options
     })
-    this.#state = new ControlState(this.#stateOptions())
+    this.#state = new ControlState(this.#createStateOptions())
     const send = (effect: SendEffect): void => { this.#sendRaft(effect) }
     this.#host = new ReplicaHost({ ...options, send, machine: this })
     if (options.recovered !== null) this.#host.run(options.recovered)
   }
 
-  /** What `hello` says about this node. */
+  /** Announced to peers in `hello`. */
   get controlPeer (): ControlPeer {
     return { voter: this.#options.self, voters: this.replica?.voters ?? null }
   }
 
-  /** Whether no other control node waits for a `hello` of this one. */
-  get isVoterSetSettled (): boolean {
-    return isVoterSetSettled(this.controlPeer, this.#options.controlNodeIds, this.#peers)
+  /** Whether every control node is a voter with its current disk, so that `hello` can be sent less often. */
+  get isVoterSetStable (): boolean {
+    return isVoterSetStable(this.controlPeer, this.#options.controlNodeIds, this.#peers)
   }
 
   get #term (): number {
     return this.replica?.term ?? 0
   }
 
-  /** State of the replica, or null before the first start is complete. */
+  /** The consensus replica, or null until the log is initialised. */
   get replica (): Replica<ControlCommand> | null {
     return this.#host.replica
   }
 
-  /** Node that leads as far as this replica knows. */
+  /** Leader known to this replica. */
   get leaderNodeId (): string | null {
     return this.replica?.leader?.nodeId ?? null
   }
 
-  /** Takes what another control node says about itself. */
+  /** Handles the `hello` of another control node: bootstraps the log, or replaces a voter that has a new disk. */
   receiveHello (peer: ControlPeer): void {
     this.#peers.set(peer.voter.nodeId, peer)
     if (this.replica === null) this.#bootstrap()
-    else this.#replaceReturnedVoter(peer.voter)
+    else this.#replaceVoterWithNewDisk(peer.voter)
   }
 
-  /** Takes a consensus message. */
+  /** Passes a consensus message to the replica. */
   receiveRaft (message: Extract<PeerMessage, { kind: 'raft' }>): void {
-    // A message to the former disk of this node must not be taken as one to the new disk.
+    // A message to this node's former disk is addressed to another voter.
     if (message.to.diskId !== this.#options.self.diskId) return
     this.#host.step({ kind: 'message', from: message.from, message: message.message })
   }
 
-  /** Answers an operation if this node leads. */
-  async ask (operation: ControlOperation): Promise<ControlResult> {
+  /** Executes an operation; fails with `not_leader` unless this node leads. */
+  async execute (operation: ControlOperation): Promise<ControlResult> {
     if (!this.#host.isActiveLeader) return fail('not_leader', 'this node is not the control leader')
     if (operation.kind === 'get_configuration_status') {
       return { ok: true, value: { kind: 'configuration_status', status: this.configurationStatus() } }
     }
     const requestId = randomUUID()
     return await new Promise<ControlResult>(resolve => {
-      this.#pending.set(requestId, resolve)
-      this.#tell({ kind: 'operation', requestId, operation })
+      this.#pendingOperations.set(requestId, resolve)
+      this.#handleEvent({ kind: 'operation', requestId, operation })
     })
   }
 
-  /** Answers a node's request for the configuration, which also renews its lease. */
-  answerFeed (nodeId: string, request: FeedRequest): Feed | undefined {
+  /** Answers a node's feed request, which also renews its configuration lease; undefined unless this node leads. */
+  answerFeedRequest (nodeId: string, request: FeedRequest): Feed | undefined {
     if (!this.#host.isActiveLeader) return undefined
     return this.#feed.answer(nodeId, request, this.#state, this.#term)
   }
 
-  /** How far the configuration in force has spread. */
+  /** Which nodes have acknowledged the current configuration version. */
   configurationStatus (): ConfigurationStatus {
     return this.#feed.status(this.#state.configuration.version)
   }
 
-  /** Hands leadership over before a shutdown. */
+  /** Transfers leadership to another voter before a shutdown. */
   stepDown (): void {
     this.#host.step({ kind: 'step_down' })
   }
 
-  /** Stops timers and closes the disk. */
+  /** Stops the timers and the replica, and closes the storage. */
   async stop (): Promise<void> {
     clearTimeout(this.#leaderTimer)
     await this.#host.stop()
@@ -152,7 +152,7 @@
 
   override apply (command: ControlCommand, proposalId: string, index: number, logTimeMs: number): void {
     const result = this.#state.apply(command, index, logTimeMs)
-    this.#tell({ kind: 'applied', proposalId, index, command, result })
+    this.#handleEvent({ kind: 'applied', proposalId, index, command, result })
     if (command.kind === 'apply_configuration' || command.kind === 'set_drain') this.#pushFeed()
   }
 
@@ -161,16 +161,16 @@
   }
 
   override restore (content: Uint8Array): void {
-    this.#state = ControlState.restore(this.#options.snapshotCodec.decode(content), this.#stateOptions())
+    this.#state = ControlState.restore(this.#options.snapshotCodec.decode(content), this.#createStateOptions())
   }
 
   override proposalRejected (proposalId: string, isCertain: boolean): void {
-    this.#tell({ kind: 'proposal_rejected', proposalId, outcome: isCertain ? 'not_applied' : 'unknown' })
+    this.#handleEvent({ kind: 'proposal_rejected', proposalId, outcome: isCertain ? 'not_applied' : 'unknown' })
   }
 
   override leadershipStarted (term: number): void {
     const { createScheduler, controlSettings, metrics, log } = this.#options
-    this.#feed.restart()
+    this.#feed.startTerm()
     this.#leader = new ControlLeader({
       term,
       state: this.#state,
@@ -179,7 +179,7 @@
       metrics,
       log
     })
-    this.#tell({ kind: 'tick' })
+    this.#handleEvent({ kind: 'tick' })
     this.#pushFeed()
   }
 
@@ -189,11 +189,11 @@
     this.#leader = undefined
     clearTimeout(this.#leaderTimer)
     for (const effect of leader.close(this.#options.clock.monotonicMs())) {
-      if (effect.kind === 'reply') this.#carryOut(effect)
+      if (effect.kind === 'reply') this.#executeEffect(effect)
     }
-    const pending = [...this.#pending.values()]
-    this.#pending.clear()
-    // Proposals may still commit under the next leader, so nothing is said about them.
+    const pending = [...this.#pendingOperations.values()]
+    this.#pendingOperations.clear()
+    // Pending proposals may still be committed by the next leader, so their outcome is unknown.
     for (const resolve of pending) resolve(fail('outcome_unknown', 'the control leader lost its role'))
   }
 
@@ -212,19 +212,19 @@
     send(effect.to.nodeId, { kind: 'raft', from: self, to: effect.to, message: effect.message })
   }
 
-  #stateOptions () {
+  #createStateOptions () {
     return { settings: defaultControlStateSettings, validator: this.#options.validator }
   }
 
-  #tell (event: ControlEvent): void {
+  #handleEvent (event: ControlEvent): void {
     const leader = this.#leader
     if (leader === undefined) return
     const effects = leader.handle(event, this.#options.clock.monotonicMs())
-    for (const effect of effects) this.#carryOut(effect)
-    this.#scheduleLeader()
+    for (const effect of effects) this.#executeEffect(effect)
+    this.#scheduleLeaderTick()
   }
 
-  #carryOut (effect: ControlEffect): void {
+  #executeEffect (effect: ControlEffect): void {
     switch (effect.kind) {
       case 'propose':
         this.#host.step({ kind: 'propose', proposalId: effect.proposalId, command: effect.command })
@@ -233,8 +233,8 @@
         this.#sendOrders(effect)
         break
       case 'reply':
-        this.#pending.get(effect.requestId)?.(effect.result)
-        this.#pending.delete(effect.requestId)
+        this.#pendingOperations.get(effect.requestId)?.(effect.result)
+        this.#pendingOperations.delete(effect.requestId)
         break
     }
   }
@@ -242,25 +242,25 @@
   async #sendOrders (effect: Extract<ControlEffect, { kind: 'send_orders' }>): Promise<void> {
     const { orderId, address, term, orders } = effect
     const results = await this.#options.workerClient.send(address, term, orders)
-    this.#tell(results === undefined
+    this.#handleEvent(results === undefined
       ? { kind: 'orders_failed', orderId }
       : { kind: 'orders_answered', orderId, results })
   }
 
-  #scheduleLeader (): void {
+  #scheduleLeaderTick (): void {
     clearTimeout(this.#leaderTimer)
     const wakeAtMs = this.#leader?.nextWakeAtMs()
     if (wakeAtMs === undefined || wakeAtMs === Infinity) return
     const delayMs = Math.max(1, wakeAtMs - this.#options.clock.monotonicMs())
-    this.#leaderTimer = setTimeout(() => { this.#tell({ kind: 'tick' }) }, delayMs)
+    this.#leaderTimer = setTimeout(() => { this.#handleEvent({ kind: 'tick' }) }, delayMs)
   }
 
-  #replaceReturnedVoter (announced: VoterId): void {
+  #replaceVoterWithNewDisk (announced: VoterId): void {
     const { replica } = this
     if (replica?.role !== 'leader') return
     const removed = findReplacedVoter(replica.voters, announced)
     if (removed === undefined) return
-    this.#options.log.warn('voter returned with a new disk and is replaced', { nodeId: announced.nodeId })
+    this.#options.log.warn('voter has a new disk and is being replaced', { nodeId: announced.nodeId })
     this.#host.step({ kind: 'replace_voter', proposalId: randomUUID(), remove: removed, add: announced })
   }
 
--- a/packages/node/src/http-endpoints.ts
+++ b/packages/node/src/endpoint-methods.ts
@@ -1,4 +1,4 @@
-/** Methods of the HTTP endpoints, so that a wrong method is told apart from a wrong path. */
+/** Methods of the HTTP endpoints, to distinguish a wrong method from an unknown path. */
 
 interface Endpoint {
   readonly method: string
@@ -6,7 +6,7 @@
 }
 
 /**
- * Finds the methods of a path.
+ * Looks up the methods of a path.
  *
  * @example
  * new EndpointMethods(['GET /jobs', 'POST /jobs']).methodsOf('/v1/jobs?limit=1') // ['GET', 'POST']
@@ -14,12 +14,12 @@
 export class EndpointMethods {
   readonly #endpoints: readonly Endpoint[]
 
-  /** @param aliases method and path below `/v1`, where `:name` stands for one segment */
+  /** @param aliases method and path below `/v1`, where `:name` matches one path segment */
   constructor (aliases: readonly string[]) {
     this.#endpoints = aliases.map(toEndpoint)
   }
 
-  /** Methods that the path of a URL takes; none where the path does not exist. */
+  /** Methods that the path of a URL supports; empty if the path does not exist. */
   methodsOf (url: string): string[] {
     const path = url.split('?')[0] ?? ''
     return this.#endpoints.filter(({ pattern }) => pattern.test(path)).map(({ method }) => method)
--- a/packages/node/src/file-log.ts
+++ b/packages/node/src/file-log.ts
@@ -1,34 +1,36 @@
-/** Log of one replica in a folder: append-only segments of records and a snapshot file. */
+/** Replica log in a folder: append-only segment files and a snapshot file. */
 import { basename, join } from 'node:path'
 import {
   LogStorage, type HardState, type LogEntry, type RecoveredLog, type ReplicaEffect, type Snapshot
 } from '@comfreygrade/consensus'
-import { FileLogError, guard, NodeLogFiles, temporarySuffix, writeSynced, type LogFile, type LogFiles } from './log-files.js'
+import {
+  FileLogError, OsLogFileSystem, TEMPORARY_SUFFIX, withFileLogError, writeAndSync, type LogFile, type LogFileSystem
+} from './log-files.js'
 import { encodeRecord, readRecords, type RecordBody } from './log-records.js'
-import { Replay, type Segment } from './log-replay.js'
+import { LogReplay, type Segment } from './log-replay.js'
 
-const defaultSegmentMaxBytes = 16_777_216
-const segmentPattern = /^segment-(\d+)\.log$/
-const snapshotPattern = /^snapshot-(\d+)\.cbor$/
+const DEFAULT_SEGMENT_MAX_BYTES = 16_777_216
+const SEGMENT_PATTERN = /^segment-(\d+)\.log$/
+const SNAPSHOT_PATTERN = /^snapshot-(\d+)\.cbor$/
 
 type PersistEffect<Command> = Extract<ReplicaEffect<Command>, { kind: 'persist' }>
 
-/** Work that waits for the disk. */
-type Job<Command> = { readonly resolve: () => void, readonly reject: (cause: unknown) => void } & (
+/** A queued write. */
+type WriteRequest<Command> = { readonly resolve: () => void, readonly reject: (cause: unknown) => void } & (
   | { readonly kind: 'persist', readonly effect: PersistEffect<Command> }
-  | { readonly kind: 'adopt', readonly snapshot: Snapshot, readonly temporaryPath: string }
+  | { readonly kind: 'commit_snapshot', readonly snapshot: Snapshot, readonly temporaryPath: string }
 )
 
-/** Settings of a file log. */
+/** Options of {@link FileLog}. */
 export interface FileLogOptions {
-  /** A segment that has grown beyond this size is followed by a new one. */
+  /** Size from which the next write starts a new segment. */
   readonly segmentMaxBytes?: number
-  readonly files?: LogFiles
+  readonly fileSystem?: LogFileSystem
 }
 
 /**
- * Log storage in a folder. One batch is in flight; what arrives meanwhile is joined into the next. After an error
- * nothing more is written or acknowledged.
+ * Log storage in a folder, with group commit: one batch is written at a time, and writes that arrive meanwhile form
+ * the next batch. After an error nothing more is written or acknowledged.
  *
  * @example
  * const log = new FileLog<MyCommand>('/var/lib/comfreygrade')
@@ -37,46 +39,46 @@
  */
 export class FileLog<Command> extends LogStorage<Command> {
   readonly #folder: string
-  readonly #files: LogFiles
+  readonly #fileSystem: LogFileSystem
   readonly #segmentMaxBytes: number
   #hardState: HardState = { term: 0, votedFor: null }
   #segments: Segment[] = []
   #file: LogFile | null = null
   #snapshotIndex = 0
-  #temporaryNumber = 0
-  #queue: Array<Job<Command>> = []
-  #drained: Promise<void> | null = null
+  #temporaryFileNumber = 0
+  #queue: Array<WriteRequest<Command>> = []
+  #flushing: Promise<void> | null = null
   #failure: FileLogError | null = null
 
   constructor (folder: string, options: FileLogOptions = {}) {
     super()
     this.#folder = folder
-    this.#files = options.files ?? new NodeLogFiles()
-    this.#segmentMaxBytes = options.segmentMaxBytes ?? defaultSegmentMaxBytes
+    this.#fileSystem = options.fileSystem ?? new OsLogFileSystem()
+    this.#segmentMaxBytes = options.segmentMaxBytes ?? DEFAULT_SEGMENT_MAX_BYTES
   }
 
   override async recover (): Promise<RecoveredLog<Command>> {
-    await guard('write_failed', this.#folder, 0, async () => await this.#files.makeFolder(this.#folder))
-    const names = await this.#list()
-    for (const name of names.filter(name => name.endsWith(temporarySuffix))) await this.#remove(name)
+    await withFileLogError('write_failed', this.#folder, 0, async () => await this.#fileSystem.createFolder(this.#folder))
+    const names = await this.#listNames()
+    for (const name of names.filter(name => name.endsWith(TEMPORARY_SUFFIX))) await this.#remove(name)
     const snapshot = await this.#readNewestSnapshot(names)
     const replay = await this.#replaySegments(names)
     this.#hardState = replay.hardState
     const entries = snapshot === null ? replay.entries : replay.entriesAfter(snapshot)
     if (entries === undefined) await this.#startSegment({ resetToIndex: this.#snapshotIndex })
-    else this.#checkStart(entries)
-    await this.#dropCovered(names)
+    else this.#checkContiguous(entries)
+    await this.#removeCoveredFiles(names)
     return { hardState: replay.hardState, snapshot, entries: entries ?? [] }
   }
 
-  #checkStart (entries: ReadonlyArray<LogEntry<Command>>): void {
+  #checkContiguous (entries: ReadonlyArray<LogEntry<Command>>): void {
     const first = entries[0]
     if (first === undefined || first.index === this.#snapshotIndex + 1) return
     throw new FileLogError('missing_entries', this.#folder, 0)
   }
 
   async #readNewestSnapshot (names: readonly string[]): Promise<Snapshot | null> {
-    const name = names.filter(candidate => snapshotPattern.test(candidate)).sort().at(-1)
+    const name = names.filter(candidate => SNAPSHOT_PATTERN.test(candidate)).sort().at(-1)
     if (name === undefined) return null
     const path = join(this.#folder, name)
     const content = await this.#read(path)
@@ -87,68 +89,71 @@
     return snapshot
   }
 
-  async #replaySegments (names: readonly string[]): Promise<Replay<Command>> {
-    const replay = new Replay<Command>()
-    const segmentNames = names.filter(name => segmentPattern.test(name)).sort()
+  async #replaySegments (names: readonly string[]): Promise<LogReplay<Command>> {
+    const replay = new LogReplay<Command>()
+    const segmentNames = names.filter(name => SEGMENT_PATTERN.test(name)).sort()
     for (const name of segmentNames) await this.#replaySegment(replay, name, name === segmentNames.at(-1))
     return replay
   }
 
-  async #replaySegment (replay: Replay<Command>, name: string, isLast: boolean): Promise<void> {
+  async #replaySegment (replay: LogReplay<Command>, name: string, isLast: boolean): Promise<void> {
     const path = join(this.#folder, name)
     const content = await this.#read(path)
     const { bodies, validBytes, isTorn } = readRecords<RecordBody<Command>>(content, path, isLast)
-    const segment = { number: numberOf(name), path, maxIndex: 0, sizeBytes: validBytes }
+    const segment = { number: parseSegmentNumber(name), path, maxIndex: 0, sizeBytes: validBytes }
     for (const body of bodies) replay.apply(body, segment)
     this.#segments.push(segment)
     if (!isLast) return
-    this.#file = await guard('write_failed', path, 0, async () => await this.#files.open(path))
+    this.#file = await withFileLogError('write_failed', path, 0, async () => await this.#fileSystem.open(path))
     if (isTorn) await this.#truncate(this.#file, segment)
   }
 
   async #truncate (file: LogFile, segment: Segment): Promise<void> {
-    await guard('write_failed', segment.path, segment.sizeBytes, async () => await file.truncate(segment.sizeBytes))
-    await guard('sync_failed', segment.path, segment.sizeBytes, async () => await file.sync())
+    await withFileLogError(
+      'write_failed', segment.path, segment.sizeBytes, async () => await file.truncate(segment.sizeBytes)
+    )
+    await withFileLogError('sync_failed', segment.path, segment.sizeBytes, async () => await file.sync())
   }
 
   override async persist (effect: PersistEffect<Command>): Promise<void> {
     await new Promise<void>((resolve, reject) => this.#enqueue({ kind: 'persist', effect, resolve, reject }))
   }
 
-  /** The content is written beside the queue, so that commits continue meanwhile; only the switch is queued. */
+  /** Writes the content outside the queue, so that log writes continue meanwhile; only the final rename is queued. */
   override async saveSnapshot (snapshot: Snapshot): Promise<void> {
-    const temporaryPath = await this.#stopOnFailure(async () => await this.#writeTemporary(snapshot))
+    const temporaryPath = await this.#stopOnFailure(async () => await this.#writeTemporarySnapshot(snapshot))
     await new Promise<void>((resolve, reject) => {
-      this.#enqueue({ kind: 'adopt', snapshot, temporaryPath, resolve, reject })
+      this.#enqueue({ kind: 'commit_snapshot', snapshot, temporaryPath, resolve, reject })
     })
   }
 
   override async close (): Promise<void> {
-    await this.#drained
+    await this.#flushing
     this.#failure ??= new FileLogError('closed', this.#folder, 0)
     await this.#file?.close()
     this.#file = null
   }
 
-  #enqueue (job: Job<Command>): void {
-    if (this.#failure !== null) return job.reject(this.#failure)
-    this.#queue.push(job)
-    this.#drained ??= this.#drain()
+  #enqueue (request: WriteRequest<Command>): void {
+    if (this.#failure !== null) return request.reject(this.#failure)
+    this.#queue.push(request)
+    this.#flushing ??= this.#flush()
   }
 
-  async #drain (): Promise<void> {
+  async #flush (): Promise<void> {
     while (this.#queue.length > 0) {
       const batch = this.#takeBatch()
       try {
-        await this.#stopOnFailure(async () => await this.#run(batch))
-        for (const job of batch) job.resolve()
+        await this.#stopOnFailure(async () => await this.#executeBatch(batch))
+        for (const request of batch) request.resolve()
       } catch (cause) {
-        for (const job of [...batch, ...this.#queue.splice(0)]) job.reject(cause)
+        for (const request of [...batch, ...this.#queue.splice(0)]) request.reject(cause)
       }
     }
-    this.#drained = null
+    this.#flushing = null
   }
 
+  /** Runs an operation; after the first failure, this and all later operations fail with that error. */
   async #stopOnFailure<T> (operation: () => Promise<T>): Promise<T> {
     if (this.#failure !== null) throw this.#failure
     try {
@@ -159,24 +164,24 @@
     }
   }
 
-  /** The first job, with all that follow if they can share one record. */
-  #takeBatch (): Array<Job<Command>> {
-    const firstSingle = this.#queue.findIndex(job => !isJoinable(job))
-    const count = firstSingle === -1 ? this.#queue.length : Math.max(1, firstSingle)
+  /** Takes the first request, together with the following ones as long as all can share one record. */
+  #takeBatch (): Array<WriteRequest<Command>> {
+    const firstUnbatchable = this.#queue.findIndex(request => !isBatchable(request))
+    const count = firstUnbatchable === -1 ? this.#queue.length : Math.max(1, firstUnbatchable)
     return this.#queue.splice(0, count)
   }
 
-  async #run (batch: ReadonlyArray<Job<Command>>): Promise<void> {
-    const single = batch[0]
-    if (single?.kind === 'adopt') return await this.#adopt(single.snapshot, single.temporaryPath)
-    const effects = batch.filter(job => job.kind === 'persist').map(job => job.effect)
+  async #executeBatch (batch: ReadonlyArray<WriteRequest<Command>>): Promise<void> {
+    const first = batch[0]
+    if (first?.kind === 'commit_snapshot') return await this.#commitSnapshot(first.snapshot, first.temporaryPath)
+    const effects = batch.filter(request => request.kind === 'persist').map(request => request.effect)
     this.#hardState = effects.findLast(effect => effect.hardState !== undefined)?.hardState ?? this.#hardState
-    const installed = effects.find(effect => effect.snapshot !== undefined)
-    if (installed?.snapshot !== undefined) await this.#install(installed.snapshot, installed.entries)
-    else await this.#writeBatch(effects)
+    const installing = effects.find(effect => effect.snapshot !== undefined)
+    if (installing?.snapshot !== undefined) await this.#installSnapshot(installing.snapshot, installing.entries)
+    else await this.#writeEffects(effects)
   }
 
-  async #writeBatch (effects: ReadonlyArray<PersistEffect<Command>>): Promise<void> {
+  async #writeEffects (effects: ReadonlyArray<PersistEffect<Command>>): Promise<void> {
     const hardState = effects.some(effect => effect.hardState !== undefined) ? this.#hardState : undefined
     const entries = effects.flatMap(effect => effect.entries)
     const segment = this.#segments.at(-1)
@@ -185,40 +190,41 @@
     else await this.#appendRecord(hardState === undefined ? { entries } : { hardState, entries })
   }
 
-  /** Replaces the log by a snapshot of the leader: first the snapshot, then a segment that ends the old entries. */
-  async #install (snapshot: Snapshot, entries: ReadonlyArray<LogEntry<Command>>): Promise<void> {
-    const temporaryPath = await this.#writeTemporary(snapshot)
-    await this.#rename(snapshot, temporaryPath)
+  /** Replaces the log by a snapshot of the leader: first writes the snapshot, then a segment that drops old entries. */
+  async #installSnapshot (snapshot: Snapshot, entries: ReadonlyArray<LogEntry<Command>>): Promise<void> {
+    const temporaryPath = await this.#writeTemporarySnapshot(snapshot)
+    await this.#publishSnapshot(snapshot, temporaryPath)
     await this.#startSegment({ resetToIndex: snapshot.lastIndex, entries })
-    await this.#dropCovered(await this.#list())
+    await this.#removeCoveredFiles(await this.#listNames())
   }
 
-  async #adopt (snapshot: Snapshot, temporaryPath: string): Promise<void> {
+  /** Makes a snapshot of this replica current, unless a newer one of the leader was installed meanwhile. */
+  async #commitSnapshot (snapshot: Snapshot, temporaryPath: string): Promise<void> {
     if (snapshot.lastIndex <= this.#snapshotIndex) return await this.#remove(basename(temporaryPath))
-    await this.#rename(snapshot, temporaryPath)
+    await this.#publishSnapshot(snapshot, temporaryPath)
     await this.#startSegment({})
-    await this.#dropCovered(await this.#list())
+    await this.#removeCoveredFiles(await this.#listNames())
   }
 
-  async #writeTemporary (snapshot: Snapshot): Promise<string> {
-    const path = join(this.#folder, `snapshot-${this.#temporaryNumber++}${temporarySuffix}`)
-    await writeSynced(this.#files, path, encodeRecord(snapshot))
+  async #writeTemporarySnapshot (snapshot: Snapshot): Promise<string> {
+    const path = join(this.#folder, `snapshot-${this.#temporaryFileNumber++}${TEMPORARY_SUFFIX}`)
+    await writeAndSync(this.#fileSystem, path, encodeRecord(snapshot))
     return path
   }
 
-  async #rename (snapshot: Snapshot, temporaryPath: string): Promise<void> {
-    const path = join(this.#folder, `snapshot-${padded(snapshot.lastIndex)}.cbor`)
-    await guard('write_failed', path, 0, async () => await this.#files.rename(temporaryPath, path))
+  async #publishSnapshot (snapshot: Snapshot, temporaryPath: string): Promise<void> {
+    const path = join(this.#folder, `snapshot-${padNumber(snapshot.lastIndex)}.cbor`)
+    await withFileLogError('write_failed', path, 0, async () => await this.#fileSystem.rename(temporaryPath, path))
     await this.#syncFolder()
     this.#snapshotIndex = snapshot.lastIndex
   }
 
-  /** Starts a segment with the term and vote, so that older segments may be removed. */
+  /** Starts a segment with the current hard state, so that older segments can be removed. */
   async #startSegment (body: Partial<RecordBody<Command>>): Promise<void> {
     const number = (this.#segments.at(-1)?.number ?? 0) + 1
-    const path = join(this.#folder, `segment-${padded(number)}.log`)
+    const path = join(this.#folder, `segment-${padNumber(number)}.log`)
     const previous = this.#file
-    this.#file = await guard('write_failed', path, 0, async () => await this.#files.open(path))
+    this.#file = await withFileLogError('write_failed', path, 0, async () => await this.#fileSystem.open(path))
     await previous?.close()
     this.#segments.push({ number, path, maxIndex: 0, sizeBytes: 0 })
     await this.#appendRecord({ hardState: this.#hardState, entries: [], ...body })
@@ -231,16 +237,16 @@
     if (segment === undefined || file === null) throw new FileLogError('closed', this.#folder, 0)
     const record = encodeRecord(body)
     const { path, sizeBytes } = segment
-    await guard('write_failed', path, sizeBytes, async () => await file.write(record, sizeBytes))
-    await guard('sync_failed', path, sizeBytes, async () => await file.sync())
+    await withFileLogError('write_failed', path, sizeBytes, async () => await file.write(record, sizeBytes))
+    await withFileLogError('sync_failed', path, sizeBytes, async () => await file.sync())
     segment.sizeBytes += record.byteLength
     for (const entry of body.entries) segment.maxIndex = Math.max(segment.maxIndex, entry.index)
   }
 
-  /** Removes what the newest snapshot covers: older snapshots, and segments from the oldest on. */
-  async #dropCovered (names: readonly string[]): Promise<void> {
-    const newest = `snapshot-${padded(this.#snapshotIndex)}.cbor`
-    const oldSnapshots = names.filter(name => snapshotPattern.test(name) && name < newest)
+  /** Removes files that the latest snapshot covers: older snapshots, and the oldest segments. */
+  async #removeCoveredFiles (names: readonly string[]): Promise<void> {
+    const newest = `snapshot-${padNumber(this.#snapshotIndex)}.cbor`
+    const oldSnapshots = names.filter(name => SNAPSHOT_PATTERN.test(name) && name < newest)
     for (const name of oldSnapshots) await this.#remove(name)
     while (this.#segments.length > 1 && (this.#segments[0]?.maxIndex ?? 0) <= this.#snapshotIndex) {
       const covered = this.#segments.shift()
@@ -248,46 +254,48 @@
     }
   }
 
-  async #list (): Promise<string[]> {
-    return await guard('read_failed', this.#folder, 0, async () => await this.#files.list(this.#folder))
+  async #listNames (): Promise<string[]> {
+    return await withFileLogError('read_failed', this.#folder, 0, async () => await this.#fileSystem.list(this.#folder))
   }
 
   async #read (path: string): Promise<Uint8Array> {
-    return await guard('read_failed', path, 0, async () => await this.#files.read(path))
+    return await withFileLogError('read_failed', path, 0, async () => await this.#fileSystem.read(path))
   }
 
   async #remove (name: string): Promise<void> {
     const path = join(this.#folder, name)
-    await guard('write_failed', path, 0, async () => await this.#files.remove(path))
+    await withFileLogError('write_failed', path, 0, async () => await this.#fileSystem.remove(path))
   }
 
   async #syncFolder (): Promise<void> {
-    await guard('sync_failed', this.#folder, 0, async () => await this.#files.syncFolder(this.#folder))
+    await withFileLogError('sync_failed', this.#folder, 0, async () => await this.#fileSystem.syncFolder(this.#folder))
   }
 }
 
-function isJoinable<Command> (job: Job<Command>): boolean {
-  return job.kind === 'persist' && job.effect.snapshot === undefined
+function isBatchable<Command> (request: WriteRequest<Command>): boolean {
+  return request.kind === 'persist' && request.effect.snapshot === undefined
 }
 
-function padded (number: number): string {
+function padNumber (number: number): string {
   return String(number).padStart(16, '0')
 }
 
-function numberOf (segmentName: string): number {
-  return Number(segmentPattern.exec(segmentName)?.[1])
+function parseSegmentNumber (segmentName: string): number {
+  return Number(SEGMENT_PATTERN.exec(segmentName)?.[1])
 }
 
 /**
- * Whether the folder holds a log, be it the first voter set or entries received from a leader. An interrupted first
- * write does not count, nor does a term without entries.
+ * Whether the folder contains log entries or a snapshot. A torn first record does not count, nor does a hard state
+ * without entries.
  */
-export async function isFolderInitialised (folder: string, files: LogFiles = new NodeLogFiles()): Promise<boolean> {
-  const names = await guard('read_failed', folder, 0, async () => await files.list(folder))
-  if (names.some(name => snapshotPattern.test(name))) return true
-  for (const name of names.filter(candidate => segmentPattern.test(candidate))) {
+export async function isFolderInitialised (
+  folder: string, fileSystem: LogFileSystem = new OsLogFileSystem()
+): Promise<boolean> {
+  const names = await withFileLogError('read_failed', folder, 0, async () => await fileSystem.list(folder))
+  if (names.some(name => SNAPSHOT_PATTERN.test(name))) return true
+  for (const name of names.filter(candidate => SEGMENT_PATTERN.test(candidate))) {
     const path = join(folder, name)
-    const content = await guard('read_failed', path, 0, async () => await files.read(path))
+    const content = await withFileLogError('read_failed', path, 0, async () => await fileSystem.read(path))
     if (readRecords<RecordBody<unknown>>(content, path, true).bodies.some(body => body.entries.length > 0)) return true
   }
   return false
--- a/packages/node/src/http-api.ts
+++ b/packages/node/src/http-api.ts
@@ -1,4 +1,4 @@
-/** HTTP front end: a moleculer broker without transporter, with `moleculer-web` as its gateway. */
+/** HTTP front end: a local moleculer broker with `moleculer-web` as its gateway. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http'
 import type { Socket } from 'node:net'
 import { ServiceBroker, type Context } from 'moleculer'
@@ -6,9 +6,9 @@
 import getRawBody from 'raw-body'
 import { errorBody, errorTable, failure, succeed, type Failure, type Metrics, type Result } from '@comfreygrade/core'
 import type { Application } from './application.js'
-import { EndpointMethods } from './http-endpoints.js'
+import { EndpointMethods } from './endpoint-methods.js'
 import { backendServerSchema, checkInput, emptyQuerySchema, pathIdentifierSchema } from './http-schemas.js'
-import { readRequest } from './http-requests.js'
+import { readShortRequest } from './short-request-headers.js'
 import { controlRoutes, type ControlRoute, type RouteInput } from './http-routes.js'
 
 /** Options of {@link HttpApi}. */
@@ -34,8 +34,8 @@
   $responseHeaders?: Record<string, string>
 }
 
-const requestPath = /^\/v1\/services\/([^/?]+)\/requests(?:\?(.*))?$/
-/** More headers than this are refused before anything else is read. */
+const SHORT_REQUEST_PATH = /^\/v1\/services\/([^/?]+)\/requests(?:\?(.*))?$/
+/** Requests with more headers are refused before anything else is read. */
 const MAX_HEADERS = 100
 const MAX_JSON_BYTES = 8 * 1024 * 1024
 const KEEP_ALIVE_TIMEOUT_MS = 65_000
@@ -51,7 +51,7 @@
   'POST /services/:service/requests', ...Object.keys(memberAliases), ...controlRoutes.map(route => route.alias)
 ])
 
-/** Serves callers, backend servers, workers and operators. */
+/** HTTP server for callers, backend servers, workers and operators. */
 export class HttpApi {
   readonly #options: HttpApiOptions
   readonly #broker: ServiceBroker
@@ -60,23 +60,23 @@
   constructor (options: HttpApiOptions) {
     this.#options = options
     this.#broker = new ServiceBroker({ nodeID: options.nodeId, logger: false, transporter: null })
-    this.#broker.createService({ name: 'control', actions: this.#controlActions() })
-    this.#broker.createService({ name: 'members', actions: this.#memberActions() })
-    this.#broker.createService(this.#gateway())
+    this.#broker.createService({ name: 'control', actions: this.#createControlActions() })
+    this.#broker.createService({ name: 'members', actions: this.#createMemberActions() })
+    this.#broker.createService(this.#createGatewaySchema())
   }
 
-  /** Opens the port. */
+  /** Starts to listen. */
   async start (): Promise<void> {
     await this.#broker.start()
   }
 
-  /** Closes the port after open requests have ended. */
+  /** Stops listening and waits for open requests to complete. */
   async stop (): Promise<void> {
     this.#server?.closeIdleConnections()
     await this.#broker.stop()
   }
 
-  #gateway () {
+  #createGatewaySchema () {
     const { host, port } = this.#options
     const aliases = Object.fromEntries(controlRoutes.map(route => [route.alias, `control.${route.action}`]))
     // The gateway calls its methods with the service as `this`.
@@ -121,38 +121,38 @@
       keepAliveTimeout: KEEP_ALIVE_TIMEOUT_MS
     }, (req, res) => {
       if (req.rawHeaders.length / 2 > MAX_HEADERS) {
-        const detail = `${req.rawHeaders.length / 2} headers, at most ${MAX_HEADERS} are allowed`
+        const detail = `found ${req.rawHeaders.length / 2} headers, at most ${MAX_HEADERS} are allowed`
         this.#sendFailure(res, failure('headers_too_large', detail))
         return
       }
-      const [, service, query = ''] = requestPath.exec(req.url ?? '') ?? []
-      // Short requests stay off the gateway, which costs more than the rest of their path.
-      if (service !== undefined && req.method === 'POST') this.#execute(service, query, req, res)
+      const [, service, query = ''] = SHORT_REQUEST_PATH.exec(req.url ?? '') ?? []
+      // Short requests bypass the gateway, whose overhead exceeds that of all other steps of their handling.
+      if (service !== undefined && req.method === 'POST') this.#executeShortRequest(service, query, req, res)
       else handler(req, res)
     })
-    // Bounded by `maxHeaderSize`; with a count limit Node.js would drop the rest without an error.
+    // With a count limit Node.js would silently drop the remaining headers; their size is limited by `maxHeaderSize`.
     server.maxHeadersCount = 0
     server.on('clientError', (error: NodeJS.ErrnoException, socket: Socket) => { this.#sendClientError(error, socket) })
     this.#server = server
     return server
   }
 
-  #controlActions () {
+  #createControlActions () {
     return Object.fromEntries(controlRoutes.map(route => [
       route.action,
-      async (ctx: Context<ActionParams, ActionMeta>) => await this.#askControl(route, ctx)
+      async (ctx: Context<ActionParams, ActionMeta>) => await this.#executeControlRoute(route, ctx)
     ]))
   }
 
-  async #askControl (route: ControlRoute, ctx: Context<ActionParams, ActionMeta>): Promise<unknown> {
-    const input = inputOf(ctx.params)
+  async #executeControlRoute (route: ControlRoute, ctx: Context<ActionParams, ActionMeta>): Promise<unknown> {
+    const input = toRouteInput(ctx.params)
     const query = route.hasQuery === true ? succeed({}) : checkInput(emptyQuerySchema, input.query, 'query')
     if (!query.ok) return this.#fail(ctx, query.failure)
     const operation = route.toOperation(input)
     if (!operation.ok) return this.#fail(ctx, operation.failure)
     const isCreation = await this.#isCreation(route, input)
     if (!isCreation.ok) return this.#fail(ctx, isCreation.failure)
-    const result = await this.#options.application.ask(operation.value)
+    const result = await this.#options.application.executeOperation(operation.value)
     if (!result.ok) return this.#fail(ctx, result.failure)
     const answer = route.toAnswer(result.value)
     ctx.meta.$statusCode = isCreation.value ? 201 : answer.status
@@ -163,12 +163,12 @@
     if (route.toLookup === undefined) return succeed(false)
     const lookup = route.toLookup(input)
     if (lookup === undefined) return succeed(true)
-    const found = await this.#options.application.ask(lookup)
+    const found = await this.#options.application.executeOperation(lookup)
     if (found.ok) return succeed(false)
     return found.failure.kind === 'not_found' ? succeed(true) : found
   }
 
-  #memberActions () {
+  #createMemberActions () {
     const { application } = this.#options
     return {
       announce: (ctx: Context<ActionParams, ActionMeta>) => {
@@ -181,23 +181,25 @@
       leave: (ctx: Context<ActionParams, ActionMeta>) => {
         const id = checkInput(pathIdentifierSchema, ctx.params.params.id, 'path.id')
         if (!id.ok) return this.#fail(ctx, id.failure)
-        const problem = application.leaveBackendServer(id.value)
+        const problem = application.deregisterBackendServer(id.value)
         return problem === undefined ? { state: 'leaving' } : this.#fail(ctx, problem)
       },
       status: () => application.status(),
       health: (ctx: Context<ActionParams, ActionMeta>) => {
         const { state, hasConfigurationLease } = application.status()
-        // A node that has just started has no lease yet, and would refuse what a balancer sends it.
+        // A node that has just started has no lease yet and would refuse requests from a load balancer.
         ctx.meta.$statusCode = state === 'serving' && hasConfigurationLease ? 200 : 503
         return { state, hasConfigurationLease }
       }
     }
   }
 
-  async #execute (service: string, query: string, req: IncomingMessage, res: ServerResponse): Promise<void> {
+  async #executeShortRequest (
+    service: string, query: string, req: IncomingMessage, res: ServerResponse
+  ): Promise<void> {
     const { application } = this.#options
     if (query !== '') {
-      this.#sendFailure(res, failure('unknown_field', `found the query ${query}, short requests have none`))
+      this.#sendFailure(res, failure('unknown_field', `found query ${query}, short requests take no query parameters`))
       return
     }
     const rules = application.admission()
@@ -209,13 +211,13 @@
       this.#sendFailure(res, failure('body_too_large', detail))
       return
     }
-    const spec = readRequest(service, req.headers, rules.value, application.nowMs())
+    const spec = readShortRequest(service, req.headers, rules.value, application.nowMs())
     if (!spec.ok) { this.#sendFailure(res, spec.failure); return }
-    const result = await application.execute(spec.value, body, cancel => {
+    const result = await application.executeRequest(spec.value, body, cancel => {
       res.on('close', () => { if (!res.writableFinished) cancel() })
     })
     res.setHeader('comfreygrade-request-id', spec.value.requestId)
-    // The router has counted what it refuses.
+    // The router has already counted its refusals.
     if (!result.ok) { this.#writeFailure(res, result.failure); return }
     const { answer, attempts, claim } = result.value
     res.writeHead(answer.status, {
@@ -229,11 +231,11 @@
 
   async #readBody (req: IncomingMessage): Promise<Buffer | Failure> {
     const length = req.headers['content-length']
-    return await getRawBody(req, { limit: this.#options.maxBodyBytes, length }).catch(gatewayFailure)
+    return await getRawBody(req, { limit: this.#options.maxBodyBytes, length }).catch(toGatewayFailure)
   }
 
   #fail (ctx: Context<ActionParams, ActionMeta>, cause: Failure): unknown {
-    this.#count(cause)
+    this.#countRefusal(cause)
     const body = errorBody(cause)
     ctx.meta.$statusCode = errorTable[cause.kind].httpStatus
     ctx.meta.$responseHeaders = retryHeaders(body.retryAfterMs)
@@ -241,7 +243,7 @@
   }
 
   #sendFailure (res: ServerResponse, cause: Failure, headers: Record<string, string> = {}): void {
-    this.#count(cause)
+    this.#countRefusal(cause)
     this.#writeFailure(res, cause, headers)
   }
 
@@ -258,9 +260,9 @@
     res.end(text)
   }
 
-  /** The gateway answers 404 for a wrong method too. */
+  /** Answers 405 where the path exists but not for this method, as the gateway reports 404 for both cases. */
   #sendGatewayError (req: IncomingRequest, res: GatewayResponse, error: Error): void {
-    const cause = gatewayFailure(error)
+    const cause = toGatewayFailure(error)
     const methods = cause.kind === 'not_found' ? endpoints.methodsOf(req.originalUrl) : []
     if (methods.length === 0) {
       this.#sendFailure(res, cause)
@@ -271,23 +273,23 @@
     this.#sendFailure(res, failure('method_not_allowed', detail), { allow })
   }
 
-  /** Answers what never became a request: oversized or malformed headers, or a sender that is too slow. */
+  /** Answers a connection whose request could not be parsed: oversized or malformed headers, or a slow sender. */
   #sendClientError (error: NodeJS.ErrnoException, socket: Socket): void {
     if (!socket.writable) { socket.destroy(); return }
-    const cause = clientFailure(error)
-    this.#count(cause)
+    const cause = toClientFailure(error)
+    this.#countRefusal(cause)
     const text = JSON.stringify(errorBody(cause))
     const status = errorTable[cause.kind].httpStatus
     socket.end(`HTTP/1.1 ${status} ${cause.kind}\r\ncontent-type: application/json; charset=utf-8\r\n` +
       `content-length: ${Buffer.byteLength(text)}\r\nconnection: close\r\n\r\n${text}`)
   }
 
-  #count (cause: Failure): void {
+  #countRefusal (cause: Failure): void {
     this.#options.metrics.increment('refusal', { kind: cause.kind })
   }
 }
 
-function inputOf (params: ActionParams): RouteInput {
+function toRouteInput (params: ActionParams): RouteInput {
   return { params: params.params ?? {}, query: params.query ?? {}, body: params.body }
 }
 
@@ -295,17 +297,17 @@
   return retryAfterMs === 0 ? {} : { 'retry-after': String(Math.ceil(retryAfterMs / 1000)) }
 }
 
-function gatewayFailure (error: Error): Failure {
+function toGatewayFailure (error: Error): Failure {
   const { code, type } = error as { code?: unknown, type?: unknown }
-  if (type === 'entity.too.large' || code === 413) return failure('body_too_large', 'the body is above the limit')
+  if (type === 'entity.too.large' || code === 413) return failure('body_too_large', 'the body exceeds the size limit')
   if (type === 'entity.parse.failed' || code === 400) return failure('invalid_request', 'the body is not valid JSON')
-  if (type === 'request.aborted') return failure('request_timeout', 'the body was not sent completely')
+  if (type === 'request.aborted') return failure('request_timeout', 'the connection was closed before the whole body was received')
   if (code === 404) return failure('not_found', 'no such endpoint')
-  return failure('internal_error', 'the node could not handle the request')
+  return failure('internal_error', 'the request failed with an internal error')
 }
 
-function clientFailure (error: NodeJS.ErrnoException): Failure {
-  if (error.code === 'HPE_HEADER_OVERFLOW') return failure('headers_too_large', 'the headers are above the limit')
-  if (error.code === 'ERR_HTTP_REQUEST_TIMEOUT') return failure('request_timeout', 'the request was not sent in time')
+function toClientFailure (error: NodeJS.ErrnoException): Failure {
+  if (error.code === 'HPE_HEADER_OVERFLOW') return failure('headers_too_large', 'the headers exceed the size limit')
+  if (error.code === 'ERR_HTTP_REQUEST_TIMEOUT') return failure('request_timeout', 'the request was not received in time')
   return failure('invalid_request', 'the request is not valid HTTP/1.1')
 }
--- a/packages/node/src/http-schemas.ts
+++ b/packages/node/src/http-schemas.ts
@@ -1,4 +1,4 @@
-/** Schemas of HTTP bodies; unknown fields are errors. */
+/** Schemas of HTTP bodies, queries and path parameters; unknown fields are errors. */
 import { z } from 'zod'
 import { fail, succeed, type Result } from '@comfreygrade/core'
 
@@ -65,28 +65,28 @@
   dryRun: z.enum(['true', 'false']).default('false')
 })
 
-/** Query of every endpoint that has none. */
+/** Query of an endpoint without query parameters. */
 export const emptyQuerySchema = z.strictObject({})
 
-/** Identifier in a path. */
+/** Identifier in a path or header. */
 export const pathIdentifierSchema = identifier
 
 /**
- * Checks a value; all mistakes are named in the detail.
+ * Validates a value; the failure detail lists all errors.
  *
  * @example
  * checkInput(drainSchema, { kind: 'vm', id: 'n1' }, 'body')
  */
-export function checkInput<T> (schema: z.ZodType<T>, value: unknown, where: string): Result<T> {
+export function checkInput<T> (schema: z.ZodType<T>, value: unknown, location: string): Result<T> {
   const parsed = schema.safeParse(value)
   if (parsed.success) return succeed(parsed.data)
   const { issues } = parsed.error
   const isOnlyUnknown = issues.every(issue => issue.code === 'unrecognized_keys')
-  const detail = issues.map(issue => describe(issue, where)).join('; ')
+  const detail = issues.map(issue => describeIssue(issue, location)).join('; ')
   return fail(isOnlyUnknown ? 'unknown_field' : 'invalid_request', detail)
 }
 
-function describe (issue: z.core.$ZodIssue, where: string): string {
-  const field = [where, ...issue.path].join('.')
+function describeIssue (issue: z.core.$ZodIssue, location: string): string {
+  const field = [location, ...issue.path].join('.')
   return `${field}: ${issue.message}`
 }
--- a/packages/node/src/log-files.ts
+++ b/packages/node/src/log-files.ts
@@ -1,11 +1,11 @@
-/** File port of the log, the file system behind it, and the errors of both. */
+/** File system port of the log, its adapter for the operating system, and their errors. */
 import * as fs from 'node:fs/promises'
 import { dirname } from 'node:path'
 
-/** Ends the names of files that are not complete yet. */
-export const temporarySuffix = '.tmp'
+/** Suffix of files that are not complete yet. */
+export const TEMPORARY_SUFFIX = '.tmp'
 
-/** What can go wrong with the folder. Every kind stops the node. */
+/** Kinds of storage errors; each of them stops the node. */
 export type FileLogErrorKind =
   | 'damaged_record'
   | 'damaged_snapshot'
@@ -17,7 +17,7 @@
   | 'read_failed'
   | 'closed'
 
-/** Error with the file and the byte offset in it. */
+/** Storage error, with the path of the file and the byte offset in it. */
 export class FileLogError extends Error {
   readonly kind: FileLogErrorKind
   readonly path: string
@@ -37,27 +37,27 @@
   /** Writes all bytes at the offset. */
   abstract write (bytes: Uint8Array, offset: number): Promise<void>
   abstract truncate (lengthBytes: number): Promise<void>
-  /** Makes content and length durable. */
+  /** Makes the content and length of the file durable. */
   abstract sync (): Promise<void>
   abstract close (): Promise<void>
 }
 
-/** File port of the log; tests put a failing disk behind it. */
-export abstract class LogFiles {
-  /** Creates the folder if it is absent, durably. */
-  abstract makeFolder (folder: string): Promise<void>
-  /** Names in the folder; none where it does not exist. */
+/** File system operations that the log needs; tests use an implementation with disk faults. */
+export abstract class LogFileSystem {
+  /** Creates the folder durably if it does not exist. */
+  abstract createFolder (folder: string): Promise<void>
+  /** File names in the folder; empty if it does not exist. */
   abstract list (folder: string): Promise<string[]>
   abstract read (path: string): Promise<Uint8Array>
-  /** Opens for writing; creates the file if it is absent. */
+  /** Opens a file for writing; creates it if it does not exist. */
   abstract open (path: string): Promise<LogFile>
   abstract rename (from: string, to: string): Promise<void>
   abstract remove (path: string): Promise<void>
-  /** Makes creations, renames and removals in the folder durable. */
+  /** Makes created, renamed and removed names in the folder durable. */
   abstract syncFolder (folder: string): Promise<void>
 }
 
-class NodeLogFile extends LogFile {
+class OsLogFile extends LogFile {
   readonly #handle: fs.FileHandle
 
   constructor (handle: fs.FileHandle) {
@@ -69,7 +69,7 @@
     let written = 0
     while (written < bytes.byteLength) {
       const result = await this.#handle.write(bytes, written, bytes.byteLength - written, offset + written)
-      if (result.bytesWritten === 0) throw new Error('the file system accepted no byte')
+      if (result.bytesWritten === 0) throw new Error('write returned 0 bytes written')
       written += result.bytesWritten
     }
   }
@@ -87,9 +87,9 @@
   }
 }
 
-/** The file system of the machine. */
-export class NodeLogFiles extends LogFiles {
-  override async makeFolder (folder: string): Promise<void> {
+/** File system of the operating system. */
+export class OsLogFileSystem extends LogFileSystem {
+  override async createFolder (folder: string): Promise<void> {
     const firstCreated = await fs.mkdir(folder, { recursive: true })
     if (firstCreated !== undefined) await this.syncFolder(dirname(folder))
   }
@@ -109,7 +109,7 @@
 
   override async open (path: string): Promise<LogFile> {
     const flags = fs.constants.O_RDWR | fs.constants.O_CREAT
-    return new NodeLogFile(await fs.open(path, flags, 0o600))
+    return new OsLogFile(await fs.open(path, flags, 0o600))
   }
 
   override async rename (from: string, to: string): Promise<void> {
@@ -134,8 +134,8 @@
   return cause instanceof Error && 'code' in cause ? cause.code : undefined
 }
 
-/** Runs an operation on a file and turns its failure into a typed error. */
-export async function guard<T> (
+/** Runs a file operation and wraps its error in a `FileLogError`; a full disk or quota always gives `disk_full`. */
+export async function withFileLogError<T> (
   kind: FileLogErrorKind, path: string, offset: number, operation: () => Promise<T>
 ): Promise<T> {
   try {
@@ -146,13 +146,13 @@
   }
 }
 
-/** Writes a whole file and makes its content durable. */
-export async function writeSynced (files: LogFiles, path: string, content: Uint8Array): Promise<void> {
-  const file = await guard('write_failed', path, 0, async () => await files.open(path))
+/** Writes a file and makes its content durable. */
+export async function writeAndSync (fileSystem: LogFileSystem, path: string, content: Uint8Array): Promise<void> {
+  const file = await withFileLogError('write_failed', path, 0, async () => await fileSystem.open(path))
   try {
-    await guard('write_failed', path, 0, async () => await file.truncate(0))
-    await guard('write_failed', path, 0, async () => await file.write(content, 0))
-    await guard('sync_failed', path, 0, async () => await file.sync())
+    await withFileLogError('write_failed', path, 0, async () => await file.truncate(0))
+    await withFileLogError('write_failed', path, 0, async () => await file.write(content, 0))
+    await withFileLogError('sync_failed', path, 0, async () => await file.sync())
   } finally {
     await file.close()
   }
--- a/packages/node/src/main.ts
+++ b/packages/node/src/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** Process of a node: reads the settings, starts the parts, ends gracefully on SIGTERM and SIGINT. */
+/** Entry point of a node process: reads the settings, starts the node, shuts down gracefully on SIGTERM and SIGINT. */
 import { readFile } from 'node:fs/promises'
 import meow from 'meow'
 import { formatFileProblem } from '@comfreygrade/documents'
@@ -10,9 +10,9 @@
 import { startNode } from './start-node.js'
 import { readSettings, type Settings } from './settings.js'
 
-/** Exit code for wrong usage or wrong settings. */
-const EXIT_SETTINGS = 2
-/** Exit code for a failure of the disk or of the start. */
+/** Exit code for invalid usage or invalid settings. */
+const EXIT_INVALID_SETTINGS = 2
+/** Exit code for a storage failure or a failed start. */
 const EXIT_FAILURE = 1
 
 const cli = meow(`
@@ -26,7 +26,7 @@
     --version        show the version
 `, {
   importMeta: import.meta,
-  // A misspelt --check would otherwise start the node.
+  // Otherwise a misspelt --check would start the node.
   allowUnknownFlags: false,
   flags: {
     settings: { type: 'string', isRequired: true },
@@ -46,14 +46,14 @@
     console.error(`${file}: cannot be read: ${error.message}`)
   })
   if (text === undefined) return undefined
-  const reading = readSettings(file, text, defaults)
-  if (reading.kind === 'valid') return reading.value
-  for (const problem of reading.problems) console.error(formatFileProblem(problem))
+  const result = readSettings(file, text, defaults)
+  if (result.kind === 'valid') return result.value
+  for (const problem of result.problems) console.error(formatFileProblem(problem))
   return undefined
 }
 
 async function run (settings: Settings): Promise<void> {
-  // meow sets the name of the package, by which the nodes of one machine could not be told apart.
+  // meow sets the title to the package name, which is the same for all nodes on one machine.
   process.title = `comfreygrade-node ${settings.node.nodeId}`
   const node = await startNode(settings, error => {
     console.error(JSON.stringify({ event: 'storage_failed', detail: String(error) }))
@@ -69,7 +69,7 @@
 
 const settings = await readSettingsFile(cli.flags.settings)
 if (settings === undefined) {
-  process.exitCode = EXIT_SETTINGS
+  process.exitCode = EXIT_INVALID_SETTINGS
 } else if (cli.flags.check) {
   console.log(`${cli.flags.settings}: settings are valid`)
 } else {
--- a/packages/node/src/node-leases.ts
+++ b/packages/node/src/node-leases.ts
@@ -1,62 +1,65 @@
-/** Which configuration each node has acknowledged, and until when it may serve under which version. */
+/** Tracks which configuration version each node has acknowledged, and until when it may serve under each version. */
 import type { ConfigurationStatus } from '@comfreygrade/control'
 
-/** Bound on how much faster a clock of the leader may run than a node's: the leader waits longer by this share. */
+/** Largest relative clock drift between leader and node; the leader waits longer than the lease by this fraction. */
 const CLOCK_RATE_BOUND = 0.01
 
-/** Until when a node may serve by version; a node that got a lease holds at least the version granted with it. */
-type Grants = Map<number, number>
+/** Expiry times by the version granted with a lease; a node that received the lease holds at least that version. */
+type LeaseExpiryByVersion = Map<number, number>
 
-interface NodeLease { acknowledgedVersion: number, grants: Grants }
+interface NodeLease { acknowledgedVersion: number, expiries: LeaseExpiryByVersion }
 
-/** Leases that the control leader has granted. */
+/** Configuration leases that the control leader has granted to the nodes. */
 export class NodeLeases {
-  readonly #nodes: Map<string, NodeLease>
+  readonly #leasesByNode: Map<string, NodeLease>
   readonly #leaseMs: number
 
   constructor (nodeIds: readonly string[], leaseMs: number) {
     this.#leaseMs = leaseMs * (1 + CLOCK_RATE_BOUND)
-    this.#nodes = new Map(nodeIds.map(nodeId => [nodeId, { acknowledgedVersion: 0, grants: new Map() }]))
+    this.#leasesByNode = new Map(
+      nodeIds.map(nodeId => [nodeId, { acknowledgedVersion: 0, expiries: new Map() }])
+    )
   }
 
-  /** Starts a term: leases of the former leader under unknown versions may hold for one more lease time. */
-  restart (nowMs: number): void {
-    for (const lease of this.#nodes.values()) {
+  /** Starts a term; leases of the former leader, for unknown versions, may be valid for one more lease duration. */
+  startTerm (nowMs: number): void {
+    for (const lease of this.#leasesByNode.values()) {
       lease.acknowledgedVersion = 0
-      lease.grants = new Map([[0, nowMs + this.#leaseMs]])
+      lease.expiries = new Map([[0, nowMs + this.#leaseMs]])
     }
   }
 
-  /** Records that a node holds a version and is sent a lease together with another one. */
+  /** Records that a node holds `heldVersion` and is granted a lease along with `grantedVersion`. */
   renew (nodeId: string, heldVersion: number, grantedVersion: number, nowMs: number): void {
-    const lease = this.#nodes.get(nodeId)
+    const lease = this.#leasesByNode.get(nodeId)
     if (lease === undefined) return
     lease.acknowledgedVersion = Math.max(lease.acknowledgedVersion, heldVersion)
-    lease.grants.set(grantedVersion, nowMs + this.#leaseMs)
-    for (const [version, untilMs] of lease.grants) if (untilMs <= nowMs) lease.grants.delete(version)
+    lease.expiries.set(grantedVersion, nowMs + this.#leaseMs)
+    for (const [version, expiresAtMs] of lease.expiries) if (expiresAtMs <= nowMs) lease.expiries.delete(version)
   }
 
-  /** Last version that a node is known to hold. */
+  /** Latest version that a node is known to hold. */
   acknowledgedVersion (nodeId: string): number {
-    return this.#nodes.get(nodeId)?.acknowledgedVersion ?? 0
+    return this.#leasesByNode.get(nodeId)?.acknowledgedVersion ?? 0
   }
 
   /**
-   * A version is in force everywhere once every node holds it or may no longer serve under an older one. A node that
-   * can send but not receive asks for ever without getting what it is granted; its older leases end all the same.
+   * A version is in force everywhere once every node either holds it or has no unexpired lease for an older version.
+   * A node that can send but not receive keeps requesting leases that never reach it, so a lease counts under the
+   * version granted with it; the node's leases for older versions still expire.
    */
   status (version: number, nowMs: number): ConfigurationStatus {
-    const nodes = [...this.#nodes].map(([nodeId, { acknowledgedVersion, grants }]) => ({
+    const nodes = [...this.#leasesByNode].map(([nodeId, { acknowledgedVersion, expiries }]) => ({
       nodeId,
       acknowledgedVersion,
-      hasLease: hasGrantBelow(grants, Infinity, nowMs)
+      hasLease: hasLeaseBelow(expiries, Infinity, nowMs)
     }))
-    const isInForceEverywhere = [...this.#nodes.values()].every(({ acknowledgedVersion, grants }) =>
-      acknowledgedVersion >= version || !hasGrantBelow(grants, version, nowMs))
+    const isInForceEverywhere = [...this.#leasesByNode.values()].every(({ acknowledgedVersion, expiries }) =>
+      acknowledgedVersion >= version || !hasLeaseBelow(expiries, version, nowMs))
     return { version, isInForceEverywhere, nodes }
   }
 }
 
-function hasGrantBelow (grants: Grants, version: number, nowMs: number): boolean {
-  return [...grants].some(([granted, untilMs]) => granted < version && nowMs < untilMs)
+function hasLeaseBelow (expiries: LeaseExpiryByVersion, version: number, nowMs: number): boolean {
+  return [...expiries].some(([grantedVersion, expiresAtMs]) => grantedVersion < version && nowMs < expiresAtMs)
 }
--- a/packages/node/src/node.ts
+++ b/packages/node/src/node.ts
@@ -1,28 +1,28 @@
-/** Wires the parts of a node together and owns its life: start, serving, graceful shutdown. */
-import { setTimeout as pause } from 'node:timers/promises'
+/** Wires the components of a node together and manages its lifecycle: start, serving, graceful shutdown. */
+import { setTimeout as delay } from 'node:timers/promises'
 import {
   fail, failure, succeed, type BackendServerRecord, type Clock, type Configuration, type EventLog, type Failure,
   type Random, type RequestSpec, type Result, type Rules
 } from '@comfreygrade/core'
 import type { ControlOperation, ControlResult, Drain } from '@comfreygrade/control'
 import { BackendRegistry, LocalityPolicy, RequestRouter, type RoutingSettings } from '@comfreygrade/routing'
-import { Application, type BackendServerAnnouncement, type HeartbeatTerms, type NodeStatus } from './application.js'
+import { Application, type BackendServerAnnouncement, type HeartbeatIntervals, type NodeStatus } from './application.js'
 import { BackendClient } from './backend-client.js'
 import { ConfigurationReplica } from './configuration-replica.js'
 import { ControlClient } from './control-client.js'
 import type { ControlService } from './control-service.js'
 import { HttpApi } from './http-api.js'
-import { MemberSpread } from './member-spread.js'
+import { MembershipBroadcast } from './membership-broadcast.js'
 import { PeerLinks } from './peer-links.js'
 import type { PeerMessage } from './peer-messages.js'
-import { RequestService, type RequestAnswer } from './request-service.js'
+import { RequestService, type RequestResult } from './request-service.js'
 import type { Settings } from './settings.js'
 import type { StatsdMetrics } from './statsd-metrics.js'
 
-/** Creates the control role with the connections of its node. */
+/** Creates the control service with access to the links of its node. */
 export type ControlFactory = (connections: {
   readonly send: (nodeId: string, message: PeerMessage) => boolean
-  readonly feedLocal: (feed: Extract<PeerMessage, { kind: 'feed' }>) => void
+  readonly deliverFeedLocally: (feed: Extract<PeerMessage, { kind: 'feed' }>) => void
 }) => ControlService
 
 /** Options of {@link Node}. */
@@ -33,20 +33,20 @@
   readonly random: Random
   readonly metrics: StatsdMetrics
   readonly log: EventLog
-  /** Absent on nodes without the role control. */
+  /** Absent on nodes without the control role. */
   readonly createControl?: ControlFactory
 }
 
-/** How often a control node says `hello` again, so that the others hear of its first start or new disk. */
+/** Interval at which a control node repeats `hello`, so that its peers learn of its bootstrap or new disk. */
 const HELLO_INTERVAL_MS = 1_000
-/** The same once every control node is a voter: a `hello` to 39 peers each second alone took more than 12 KB/s. */
-const SETTLED_HELLO_INTERVAL_MS = 10_000
-/** How often a shutdown looks whether all requests have ended. */
-const DRAIN_CHECK_MS = 20
-/** Time for peers to hear that leadership was handed over. */
-const STEP_DOWN_MS = 200
+/** Interval once every control node is a voter; a `hello` to 39 peers every second took more than 12 KB/s. */
+const STABLE_HELLO_INTERVAL_MS = 10_000
+/** Interval at which a graceful shutdown checks whether all requests have completed. */
+const SHUTDOWN_POLL_INTERVAL_MS = 20
+/** Time that a shutdown leaves for the transfer of leadership to reach the peers. */
+const STEP_DOWN_DELAY_MS = 200
 
-/** One process of the system. */
+/** A node of the system: entry role, and optionally the control role. */
 export class Node extends Application {
   readonly #options: NodeOptions
   readonly #configuration: ConfigurationReplica
@@ -57,13 +57,13 @@
   readonly #links: PeerLinks
   readonly #control: ControlService | undefined
   readonly #controlClient: ControlClient
-  readonly #members: MemberSpread
+  readonly #membership: MembershipBroadcast
   readonly #http: HttpApi
   readonly #startedAtMs: number
   #phase: Exclude<NodeStatus['state'], 'drained'> = 'starting'
   #feedTimer: NodeJS.Timeout | undefined
   #helloTimer: NodeJS.Timeout | undefined
-  #helloAtMs = -Infinity
+  #lastHelloAtMs = -Infinity
 
   constructor (options: NodeOptions) {
     super()
@@ -72,13 +72,13 @@
     this.#options = options
     this.#startedAtMs = clock.monotonicMs()
     this.#configuration = new ConfigurationReplica(clock, log)
-    this.#configuration.onChange((configuration, drains) => { this.#configurationChanged(configuration, drains) })
+    this.#configuration.onChange((configuration, drains) => { this.#onConfigurationChange(configuration, drains) })
     this.#registry = new BackendRegistry(timing.backendExpireAfterMs)
     this.#router = this.#createRouter()
     this.#links = this.#createLinks()
     this.#control = options.createControl?.({
       send: (nodeId, message) => this.#links.send(nodeId, message),
-      feedLocal: feed => { this.#configuration.receive(feed) }
+      deliverFeedLocally: feed => { this.#configuration.receive(feed) }
     })
     this.#controlClient = new ControlClient({
       nodeId: node.nodeId,
@@ -88,7 +88,7 @@
       metrics,
       leaderNodeId: () => this.#leaderNodeId(),
       send: (nodeId, message) => this.#links.send(nodeId, message),
-      askLocal: async operation => await this.#askLocal(operation)
+      executeLocally: async operation => await this.#executeLocally(operation)
     })
     this.#backendClient = new BackendClient({ maxAnswerBytes: limits.maxAnswerBytes, connectTimeoutMs: 1_000 })
     this.#requests = new RequestService({
@@ -96,9 +96,9 @@
       backendClient: this.#backendClient,
       clock,
       metrics,
-      askControl: async (operation, timeoutMs) => await this.#controlClient.ask(operation, timeoutMs)
+      executeOperation: async (operation, timeoutMs) => await this.#controlClient.execute(operation, timeoutMs)
     })
-    this.#members = this.#createMembers()
+    this.#membership = this.#createMembershipBroadcast()
     this.#http = new HttpApi({
       application: this,
       metrics,
@@ -111,28 +111,28 @@
     })
   }
 
-  /** Connects to the other nodes and opens the HTTP port. */
+  /** Connects to the other nodes and starts the HTTP server. */
   async start (): Promise<void> {
     const { timing } = this.#options.settings
     await this.#links.start()
-    this.#members.start()
+    this.#membership.start()
     this.#feedTimer = setInterval(() => { this.#requestFeed() }, timing.feedIntervalMs)
-    this.#helloTimer = setInterval(() => { this.#repeatHello() }, HELLO_INTERVAL_MS)
+    this.#helloTimer = setInterval(() => { this.#broadcastHello() }, HELLO_INTERVAL_MS)
     await this.#http.start()
     this.#phase = 'serving'
     this.#options.log.info('node is serving', { http: this.#options.settings.http })
   }
 
-  /** Takes no new work, lets open requests end within the limit, and closes everything. */
+  /** Shuts down gracefully: refuses new requests, waits for open ones up to the shutdown limit, closes everything. */
   async stop (): Promise<void> {
     if (this.#phase === 'stopping') return
     this.#phase = 'stopping'
     this.#options.log.info('graceful shutdown started', { openRequests: this.#requests.openRequests })
-    this.#requests.dispatchEvent({ kind: 'drain_started' })
+    this.#requests.handleEvent({ kind: 'drain_started' })
     await this.#awaitOpenRequests()
     this.#control?.stepDown()
-    await pause(STEP_DOWN_MS)
-    await this.#close()
+    await delay(STEP_DOWN_DELAY_MS)
+    await this.#closeAll()
     this.#options.log.info('graceful shutdown ended', { openRequests: this.#requests.openRequests })
     await this.#options.metrics.close()
   }
@@ -140,9 +140,9 @@
   override admission (): Result<Rules> {
     const state = this.#state
     if (state === 'stopping') return fail('shutting_down', 'this node is shutting down')
-    if (state === 'drained') return fail('shutting_down', 'an operator drains this node')
+    if (state === 'drained') return fail('shutting_down', 'this node is drained by an operator')
     if (!this.#configuration.hasLease) {
-      return fail('configuration_stale', 'this node has no lease on the configuration in force')
+      return fail('configuration_stale', 'this node has no valid configuration lease')
     }
     return succeed(this.#configuration.configuration.rules)
   }
@@ -151,28 +151,28 @@
     return this.#options.clock.monotonicMs()
   }
 
-  override async execute (
+  override async executeRequest (
     spec: RequestSpec, body: Buffer, onCancel: (cancel: () => void) => void
-  ): Promise<Result<RequestAnswer>> {
+  ): Promise<Result<RequestResult>> {
     return await this.#requests.execute(spec, body, onCancel)
   }
 
-  override async ask (operation: ControlOperation): Promise<ControlResult> {
-    const result = await this.#controlClient.ask(operation)
+  override async executeOperation (operation: ControlOperation): Promise<ControlResult> {
+    const result = await this.#controlClient.execute(operation)
     if (!result.ok || result.value.kind !== 'fleet') return result
     return { ok: true, value: { ...result.value, backendServers: this.backendServers() } }
   }
 
-  override announceBackendServer (announcement: BackendServerAnnouncement): HeartbeatTerms {
+  override announceBackendServer (announcement: BackendServerAnnouncement): HeartbeatIntervals {
     const { heartbeatIntervalMs, backendExpireAfterMs } = this.#options.settings.timing
-    this.#members.announce({ ...announcement, state: 'active' })
+    this.#membership.announce({ ...announcement, state: 'active' })
     return { heartbeatIntervalMs, expireAfterMs: backendExpireAfterMs }
   }
 
-  override leaveBackendServer (backendServerId: string): Failure | undefined {
+  override deregisterBackendServer (backendServerId: string): Failure | undefined {
     const record = this.backendServers().find(known => known.backendServerId === backendServerId)
-    if (record === undefined) return failure('not_found', `backend server ${backendServerId} is not known here`)
-    this.#members.announce({ ...record, sequence: record.sequence + 1, state: 'leaving' })
+    if (record === undefined) return failure('not_found', `backend server ${backendServerId} is not known to this node`)
+    this.#membership.announce({ ...record, sequence: record.sequence + 1, state: 'leaving' })
     return undefined
   }
 
@@ -211,7 +211,7 @@
     }
   }
 
-  /** A drain is read from the configuration, so that it also holds for a node that is still starting. */
+  /** Derived from the drains in the feed, so that a drain also applies to a node that is still starting. */
   get #state (): NodeStatus['state'] {
     const { nodeId } = this.#options.settings.node
     const isDrained = this.#configuration.drains.some(drain => drain.kind === 'vm' && drain.id === nodeId)
@@ -245,25 +245,25 @@
       clock,
       metrics,
       log,
-      hello: () => this.#hello(),
-      // A peer that has restarted knows no backend server; this link is the first on which it can be told.
-      onConnect: nodeId => { this.#members.catchUp(message => { this.#links.send(nodeId, message) }) },
+      hello: () => this.#createHello(),
+      // A restarted peer knows no backend servers, so it gets all records as soon as the link is up.
+      onConnect: nodeId => { this.#membership.sendAllRecords(message => { this.#links.send(nodeId, message) }) },
       onMessage: (fromNodeId, message) => { this.#receive(fromNodeId, message) },
-      onDisconnect: nodeId => { this.#controlClient.disconnected(nodeId) }
+      onDisconnect: nodeId => { this.#controlClient.onDisconnect(nodeId) }
     })
   }
 
-  #createMembers (): MemberSpread {
+  #createMembershipBroadcast (): MembershipBroadcast {
     const { settings, routingSettings, clock } = this.#options
-    return new MemberSpread({
+    return new MembershipBroadcast({
       registry: this.#registry,
       router: this.#router,
       clock,
-      memberIntervalMs: settings.timing.memberSpreadIntervalMs,
+      recordIntervalMs: settings.timing.memberSpreadIntervalMs,
       loadIntervalMs: routingSettings.loadShareIntervalMs,
-      maxLoadBytes: routingSettings.loadShareMaxBytes,
+      maxLoadReportBytes: routingSettings.loadShareMaxBytes,
       broadcast: message => { this.#links.broadcast(message) },
-      onChanged: () => { this.#requests.wake() }
+      onChange: () => { this.#requests.reschedule() }
     })
   }
 
@@ -271,12 +271,12 @@
     switch (message.kind) {
       case 'hello': this.#receiveHello(message); break
       case 'raft': this.#control?.receiveRaft(message); break
-      case 'control_request': this.#answerPeer(fromNodeId, message); break
+      case 'control_request': this.#answerControlRequest(fromNodeId, message); break
       case 'control_response': this.#controlClient.receive(message); break
-      case 'feed_request': this.#answerFeed(fromNodeId, message); break
+      case 'feed_request': this.#answerFeedRequest(fromNodeId, message); break
       case 'feed': this.#configuration.receive(message); break
       case 'members':
-      case 'load': this.#members.receive(fromNodeId, message); break
+      case 'load': this.#membership.receive(fromNodeId, message); break
     }
   }
 
@@ -284,23 +284,25 @@
     if (message.control !== null) this.#control?.receiveHello(message.control)
   }
 
-  async #answerPeer (fromNodeId: string, message: Extract<PeerMessage, { kind: 'control_request' }>): Promise<void> {
+  async #answerControlRequest (
+    fromNodeId: string, message: Extract<PeerMessage, { kind: 'control_request' }>
+  ): Promise<void> {
     const { requestId, operation } = message
-    const result = await this.#askLocal(operation)
+    const result = await this.#executeLocally(operation)
     this.#links.send(fromNodeId, { kind: 'control_response', requestId, result })
   }
 
-  async #askLocal (operation: ControlOperation): Promise<ControlResult> {
+  async #executeLocally (operation: ControlOperation): Promise<ControlResult> {
     if (this.#control === undefined) return fail('not_leader', 'this node has no control role')
-    return await this.#control.ask(operation)
+    return await this.#control.execute(operation)
   }
 
-  #answerFeed (fromNodeId: string, message: Extract<PeerMessage, { kind: 'feed_request' }>): void {
-    const feed = this.#control?.answerFeed(fromNodeId, message)
+  #answerFeedRequest (fromNodeId: string, message: Extract<PeerMessage, { kind: 'feed_request' }>): void {
+    const feed = this.#control?.answerFeedRequest(fromNodeId, message)
     if (feed !== undefined) this.#links.send(fromNodeId, feed)
   }
 
-  /** Asks the known leader, or every control node when the lease was not renewed. */
+  /** Requests the feed from the known leader, or from every control node once the lease has expired. */
   #requestFeed (): void {
     const { node, peers } = this.#options.settings
     const message = {
@@ -315,51 +317,51 @@
         this.#links.send(nodeId, message)
         continue
       }
-      const feed = this.#control?.answerFeed(nodeId, message)
+      const feed = this.#control?.answerFeedRequest(nodeId, message)
       if (feed !== undefined) this.#configuration.receive(feed)
     }
   }
 
-  /** The replica hears of a new leader first; other nodes learn it from the feed. */
+  /** The consensus replica learns of a new leader first; nodes without one learn it from the feed. */
   #leaderNodeId (): string | null {
     return this.#control?.leaderNodeId ?? this.#configuration.leaderNodeId
   }
 
-  /** Every link starts with a `hello`; only control nodes act on later ones. */
-  #repeatHello (): void {
+  /** Repeats `hello` to the control nodes; the first one is sent when a link is established. */
+  #broadcastHello (): void {
     const control = this.#control
     const nowMs = this.nowMs()
     if (control === undefined) return
-    if (control.isVoterSetSettled && nowMs - this.#helloAtMs < SETTLED_HELLO_INTERVAL_MS) return
-    this.#helloAtMs = nowMs
-    const message = this.#hello()
+    if (control.isVoterSetStable && nowMs - this.#lastHelloAtMs < STABLE_HELLO_INTERVAL_MS) return
+    this.#lastHelloAtMs = nowMs
+    const message = this.#createHello()
     for (const { nodeId, roles } of this.#options.settings.peers.nodes) {
       if (roles.includes('control')) this.#links.send(nodeId, message)
     }
   }
 
-  #hello (): PeerMessage {
+  #createHello (): PeerMessage {
     const { nodeId } = this.#options.settings.node
     return { kind: 'hello', nodeId, control: this.#control?.controlPeer ?? null, readsNumberedFields: true }
   }
 
-  #configurationChanged (configuration: Configuration, drains: readonly Drain[]): void {
+  #onConfigurationChange (configuration: Configuration, drains: readonly Drain[]): void {
     const weights = [...configuration.organisations].map(([id, organisation]) => [id, organisation.weight] as const)
     this.#router.setOrganisations(new Map(weights))
     this.#registry.setDraining(new Set(drains.filter(drain => drain.kind === 'backend-server').map(drain => drain.id)))
-    this.#requests.wake()
+    this.#requests.reschedule()
   }
 
   async #awaitOpenRequests (): Promise<void> {
-    const limitMs = this.nowMs() + this.#options.settings.limits.shutdownLimitMs
-    while (this.#requests.openRequests > 0 && this.nowMs() < limitMs) await pause(DRAIN_CHECK_MS)
-    await Promise.race([this.#requests.settled(), pause(Math.max(0, limitMs - this.nowMs()))])
+    const deadlineMs = this.nowMs() + this.#options.settings.limits.shutdownLimitMs
+    while (this.#requests.openRequests > 0 && this.nowMs() < deadlineMs) await delay(SHUTDOWN_POLL_INTERVAL_MS)
+    await Promise.race([this.#requests.awaitSettlements(), delay(Math.max(0, deadlineMs - this.nowMs()))])
   }
 
-  async #close (): Promise<void> {
+  async #closeAll (): Promise<void> {
     clearInterval(this.#feedTimer)
     clearInterval(this.#helloTimer)
-    this.#members.stop()
+    this.#membership.stop()
     this.#requests.close()
     await this.#http.stop()
     await this.#control?.stop()
--- a/packages/node/src/peer-links.ts
+++ b/packages/node/src/peer-links.ts
@@ -1,14 +1,14 @@
-/** TCP links between nodes: each node dials every other one and listens for their links. */
+/** TCP links between nodes: each node dials every peer, and accepts the links that peers dial. */
 import { createConnection, createServer, type Server, type Socket } from 'node:net'
 import type { Clock, EventLog, Metrics } from '@comfreygrade/core'
 import {
-  encodeFrame, FrameDecoder, type FrameFormat, type LinkHello, type LinkMessage, type PeerMessage
+  encodeFrame, FrameDecoder, type FrameFormat, type HelloMessage, type LinkMessage, type PeerMessage
 } from './peer-messages.js'
 
-/** Bytes that may wait on one link; more means that the peer does not read, and messages are dropped. */
-const MAX_BACKLOG_BYTES = 16 * 1024 * 1024
+/** Messages are dropped while a link has more unsent bytes than this, as the peer is not reading. */
+const MAX_SEND_BUFFER_BYTES = 16 * 1024 * 1024
 
-/** Where a peer listens. */
+/** Listening address of a peer. */
 export interface PeerAddress {
   readonly nodeId: string
   readonly host: string
@@ -21,7 +21,7 @@
   readonly host: string
   readonly port: number
   readonly peers: readonly PeerAddress[]
-  /** Whether nodes outside `peers` may connect; they are answered on the links that they dialled. */
+  /** Whether nodes outside `peers` may connect; messages to them are sent on the links that they dialled. */
   readonly acceptsUnknownNodes?: boolean
   readonly pingIntervalMs: number
   readonly silenceMs: number
@@ -29,22 +29,22 @@
   readonly clock: Clock
   readonly metrics: Metrics
   readonly log: EventLog
-  /** Sent first on every link that this node dials. */
+  /** Creates the first message on every link that this node dials. */
   readonly hello: () => Message
   readonly onMessage: (fromNodeId: string, message: Message) => void
-  /** A dialled link is up, and `hello` was sent on it. */
+  /** Called when a dialled link is up and `hello` has been sent on it. */
   readonly onConnect: (nodeId: string) => void
-  /** A dialled link is gone; requests that wait for answers on it end. */
+  /** Called when a dialled link is down, so that requests which wait for an answer of the peer can be ended. */
   readonly onDisconnect: (nodeId: string) => void
 }
 
-/** Keeps one outgoing and one incoming link with each peer, and replaces links that went silent. */
+/** Maintains one outgoing and one incoming link per peer, and closes and redials links without traffic. */
 export class PeerLinks<Message extends LinkMessage = PeerMessage> {
   readonly #options: PeerLinksOptions<Message>
   readonly #outgoing = new Map<string, OutgoingLink<Message>>()
   readonly #incoming = new Set<IncomingLink<Message>>()
   readonly #server: Server
-  #timer: NodeJS.Timeout | undefined
+  #livenessTimer: NodeJS.Timeout | undefined
 
   constructor (options: PeerLinksOptions<Message>) {
     this.#options = options
@@ -54,55 +54,55 @@
     }
   }
 
-  /** Listens and starts dialling. */
+  /** Starts to listen and dials all peers. */
   async start (): Promise<void> {
     await new Promise<void>((resolve, reject) => {
       this.#server.once('error', reject)
       this.#server.listen(this.#options.port, this.#options.host, resolve)
     })
     for (const link of this.#outgoing.values()) link.dial()
-    this.#timer = setInterval(() => { this.#checkLinks() }, this.#options.pingIntervalMs)
+    this.#livenessTimer = setInterval(() => { this.#checkLinks() }, this.#options.pingIntervalMs)
   }
 
   /**
-   * Sends a message, or drops it when the link is down.
+   * Sends a message, or drops it if the link is down or its send buffer is full.
    *
    * @returns whether the message was handed to the operating system
    */
   send (nodeId: string, message: Message): boolean {
     const link = this.#outgoing.get(nodeId)
-    return link === undefined ? this.#answer(nodeId, message) : link.send(message)
+    return link === undefined ? this.#sendOnIncomingLink(nodeId, message) : link.send(message)
   }
 
-  /** Dials one more peer; a peer that is known at another address is dialled there. */
+  /** Adds a peer and dials it; a known peer with another address is redialled there. */
   addPeer (peer: PeerAddress): void {
     if (peer.nodeId === this.#options.nodeId) return
     const known = this.#outgoing.get(peer.nodeId)
-    if (known?.isAt(peer) === true) return
-    known?.stop()
+    if (known?.hasAddress(peer) === true) return
+    known?.close()
     const link = new OutgoingLink(peer, this.#options)
     this.#outgoing.set(peer.nodeId, link)
     link.dial()
   }
 
-  /** IDs of the peers that are dialled, connected or not. */
+  /** IDs of all peers that this node dials, connected or not. */
   peerNodeIds (): string[] {
     return [...this.#outgoing.keys()]
   }
 
-  /** Stops dialling a peer. */
+  /** Closes the link to a peer and no longer dials it. */
   removePeer (nodeId: string): void {
-    this.#outgoing.get(nodeId)?.stop()
+    this.#outgoing.get(nodeId)?.close()
     this.#outgoing.delete(nodeId)
   }
 
-  /** Sends to a node that is not dialled on the latest link that it dialled. */
-  #answer (nodeId: string, message: Message): boolean {
+  /** Sends to a node outside `peers` on the latest link that it dialled. */
+  #sendOnIncomingLink (nodeId: string, message: Message): boolean {
     const link = [...this.#incoming].findLast(candidate => candidate.peerId === nodeId)
     return link?.send(message) ?? false
   }
 
-  /** Sends one message to every peer whose link is up, encoding it once for each format. */
+  /** Sends a message to every connected peer, encoding it once per format. */
   broadcast (message: Message): void {
     const frames = new Map<FrameFormat, Buffer>()
     for (const link of this.#outgoing.values()) {
@@ -112,50 +112,50 @@
     }
   }
 
-  /** IDs of the peers whose links are up. */
+  /** IDs of the peers whose outgoing link is up. */
   connectedNodeIds (): string[] {
     return [...this.#outgoing.values()].filter(link => link.isConnected).map(link => link.nodeId)
   }
 
-  /** Closes every link. */
+  /** Stops listening and closes all links. */
   async stop (): Promise<void> {
-    clearInterval(this.#timer)
-    for (const link of this.#outgoing.values()) link.stop()
+    clearInterval(this.#livenessTimer)
+    for (const link of this.#outgoing.values()) link.close()
     for (const link of this.#incoming) link.close()
     await new Promise<void>(resolve => { this.#server.close(() => { resolve() }) })
   }
 
   #accept (socket: Socket): void {
     const link = new IncomingLink(socket, this.#options, {
-      onHello: hello => { this.#chooseFormat(hello) },
+      onHello: hello => { this.#setFrameFormat(hello) },
       onClose: () => { this.#incoming.delete(link) }
     })
     this.#incoming.add(link)
   }
 
-  /** A peer says at each start what it reads, so that nodes of two versions understand each other in an upgrade. */
-  #chooseFormat ({ nodeId, readsNumberedFields }: LinkHello): void {
+  /** Uses the format that the peer announced in its `hello`, so that two versions interoperate during an upgrade. */
+  #setFrameFormat ({ nodeId, readsNumberedFields }: HelloMessage): void {
     const link = this.#outgoing.get(nodeId)
     if (link !== undefined) link.format = readsNumberedFields === true ? 'numbered' : 'named'
   }
 
   #checkLinks (): void {
-    for (const link of this.#outgoing.values()) link.check()
-    for (const link of this.#incoming) link.check()
+    for (const link of this.#outgoing.values()) link.checkLiveness()
+    for (const link of this.#incoming) link.checkLiveness()
   }
 }
 
-/** A link that this node dialled; carries its messages, and pongs back. */
+/** A link that this node dialled: sends messages and pings, and receives pongs. */
 class OutgoingLink<Message extends LinkMessage> {
   readonly #peer: PeerAddress
   readonly #options: PeerLinksOptions<Message>
-  /** Format of the frames to this peer; named until it says that it reads numbered ones. */
+  /** Format of the frames to this peer; `named` until the peer announces that it reads numbered fields. */
   format: FrameFormat = 'named'
   #socket: Socket | undefined
   #isConnected = false
-  #heardAtMs = 0
+  #lastReceivedAtMs = 0
   #redialTimer: NodeJS.Timeout | undefined
-  #isStopped = false
+  #isClosed = false
 
   constructor (peer: PeerAddress, options: PeerLinksOptions<Message>) {
     this.#peer = peer
@@ -170,7 +170,7 @@
     return this.#isConnected
   }
 
-  isAt ({ host, port }: PeerAddress): boolean {
+  hasAddress ({ host, port }: PeerAddress): boolean {
     return this.#peer.host === host && this.#peer.port === port
   }
 
@@ -178,18 +178,18 @@
     const socket = createConnection({ host: this.#peer.host, port: this.#peer.port, noDelay: true })
     const decoder = new FrameDecoder<Message>()
     this.#socket = socket
-    this.#heardAtMs = this.#options.clock.monotonicMs()
-    socket.on('connect', () => { this.#connected() })
+    this.#lastReceivedAtMs = this.#options.clock.monotonicMs()
+    socket.on('connect', () => { this.#onConnect() })
     socket.on('data', chunk => {
-      this.#heardAtMs = this.#options.clock.monotonicMs()
+      this.#lastReceivedAtMs = this.#options.clock.monotonicMs()
       for (const message of decodeOrClose(decoder, chunk, socket, this.#options.metrics)) this.#receive(message)
     })
-    // The 'close' event follows each error and does the work.
+    // Every error is followed by 'close', which handles it.
     socket.on('error', () => {})
-    socket.on('close', () => { this.#closed(socket) })
+    socket.on('close', () => { this.#onClose(socket) })
   }
 
-  /** A peer that does not dial this node answers on the link that it was dialled on. */
+  /** A peer that does not dial this node sends its messages on this link. */
   #receive (message: Message): void {
     if (message.kind !== 'pong') this.#options.onMessage(this.nodeId, message)
   }
@@ -198,14 +198,14 @@
     return this.#isConnected && this.sendFrame(this.#encode(message), message.kind)
   }
 
-  /** The peer may have been replaced by an older version, so `hello` is readable by all. */
+  /** `hello` is sent in the format that all versions read, as the peer may have been downgraded since the last link. */
   #encode (message: LinkMessage): Buffer {
     return encodeFrame(message, message.kind === 'hello' ? 'named' : this.format)
   }
 
   sendFrame (frame: Buffer, kind: string): boolean {
     if (!this.#isConnected || this.#socket === undefined) return false
-    if (this.#socket.writableLength > MAX_BACKLOG_BYTES) {
+    if (this.#socket.writableLength > MAX_SEND_BUFFER_BYTES) {
       this.#options.metrics.increment('peer.dropped', { message: kind })
       return false
     }
@@ -214,9 +214,9 @@
     return true
   }
 
-  check (): void {
+  checkLiveness (): void {
     if (this.#socket === undefined) return
-    const silentMs = this.#options.clock.monotonicMs() - this.#heardAtMs
+    const silentMs = this.#options.clock.monotonicMs() - this.#lastReceivedAtMs
     if (silentMs >= this.#options.silenceMs) {
       this.#options.metrics.increment('peer.silent_link_closed', { peer: this.#peer.nodeId })
       this.#socket.destroy()
@@ -225,20 +225,20 @@
     this.send({ kind: 'ping' })
   }
 
-  stop (): void {
-    this.#isStopped = true
+  close (): void {
+    this.#isClosed = true
     clearTimeout(this.#redialTimer)
     this.#socket?.destroy()
   }
 
-  #connected (): void {
+  #onConnect (): void {
     this.#isConnected = true
     this.#options.log.info('peer link is up', { peerId: this.#peer.nodeId })
     this.send(this.#options.hello())
     this.#options.onConnect(this.#peer.nodeId)
   }
 
-  #closed (socket: Socket): void {
+  #onClose (socket: Socket): void {
     if (this.#socket !== socket) return
     this.#socket = undefined
     if (this.#isConnected) {
@@ -246,32 +246,32 @@
       this.#options.log.warn('peer link is down', { peerId: this.#peer.nodeId })
       this.#options.onDisconnect(this.#peer.nodeId)
     }
-    if (!this.#isStopped) this.#redialTimer = setTimeout(() => { this.dial() }, this.#options.redialMs)
+    if (!this.#isClosed) this.#redialTimer = setTimeout(() => { this.dial() }, this.#options.redialMs)
   }
 }
 
 interface IncomingLinkHandlers {
-  readonly onHello: (hello: LinkHello) => void
+  readonly onHello: (hello: HelloMessage) => void
   readonly onClose: () => void
 }
 
-/** A link that a peer dialled; only receives, and answers pings. */
+/** A link that a peer dialled: receives messages, answers pings, and sends messages to nodes that are not dialled. */
 class IncomingLink<Message extends LinkMessage> {
   readonly #socket: Socket
   readonly #options: PeerLinksOptions<Message>
-  readonly #onHello: (hello: LinkHello) => void
+  readonly #onHello: (hello: HelloMessage) => void
   #peerId: string | undefined
-  #heardAtMs: number
+  #lastReceivedAtMs: number
 
   constructor (socket: Socket, options: PeerLinksOptions<Message>, handlers: IncomingLinkHandlers) {
     this.#socket = socket
     this.#onHello = handlers.onHello
     this.#options = options
-    this.#heardAtMs = options.clock.monotonicMs()
+    this.#lastReceivedAtMs = options.clock.monotonicMs()
     const decoder = new FrameDecoder<Message>()
     socket.setNoDelay(true)
     socket.on('data', chunk => {
-      this.#heardAtMs = options.clock.monotonicMs()
+      this.#lastReceivedAtMs = options.clock.monotonicMs()
       options.metrics.increment('peer.received_bytes', {}, chunk.length)
       for (const message of decodeOrClose(decoder, chunk, socket, options.metrics)) this.#receive(message)
     })
@@ -279,8 +279,8 @@
     socket.on('close', handlers.onClose)
   }
 
-  check (): void {
-    if (this.#options.clock.monotonicMs() - this.#heardAtMs >= this.#options.silenceMs) this.close()
+  checkLiveness (): void {
+    if (this.#options.clock.monotonicMs() - this.#lastReceivedAtMs >= this.#options.silenceMs) this.close()
   }
 
   close (): void {
@@ -292,7 +292,7 @@
   }
 
   send (message: Message): boolean {
-    if (this.#socket.destroyed || this.#socket.writableLength > MAX_BACKLOG_BYTES) return false
+    if (this.#socket.destroyed || this.#socket.writableLength > MAX_SEND_BUFFER_BYTES) return false
     this.#socket.write(encodeFrame(message))
     return true
   }
@@ -306,19 +306,19 @@
     if (this.#peerId !== undefined) this.#options.onMessage(this.#peerId, message)
   }
 
-  #identify (hello: LinkHello): void {
+  #identify (hello: HelloMessage): void {
     const { nodeId } = hello
     if (this.#options.acceptsUnknownNodes === true || this.#options.peers.some(peer => peer.nodeId === nodeId)) {
       this.#peerId = nodeId
       this.#onHello(hello)
       return
     }
-    this.#options.log.warn('link of an unknown node refused', { peerId: nodeId })
+    this.#options.log.warn('peer link from unknown node refused', { peerId: nodeId })
     this.close()
   }
 }
 
-function isHello (message: LinkMessage): message is LinkHello {
+function isHello (message: LinkMessage): message is HelloMessage {
   return message.kind === 'hello'
 }
 
--- a/packages/node/src/peer-messages.ts
+++ b/packages/node/src/peer-messages.ts
@@ -1,4 +1,4 @@
-/** Messages between nodes, and their framing: a 4-byte big-endian length, then one `cbor-x` value. */
+/** Messages between nodes and their framing: a 4-byte big-endian length, followed by one CBOR value. */
 import { Encoder } from 'cbor-x'
 import type { ConfigurationChange, ConfigurationDocument } from '@comfreygrade/core'
 import type { ConsensusMessage, VoterId } from '@comfreygrade/consensus'
@@ -6,21 +6,21 @@
 import type { AgedRecord, LoadReport } from '@comfreygrade/routing'
 import type { ControlPeer } from './voter-bootstrap.js'
 
-/** Either the changes after `baseVersion` or a full copy. */
+/** Content of a feed: the changes after `baseVersion`, or a full copy of the configuration. */
 export type FeedContent =
   | { readonly kind: 'changes', readonly baseVersion: number, readonly changes: readonly ConfigurationChange[] }
   | { readonly kind: 'full', readonly version: number, readonly document: ConfigurationDocument }
 
-/** What a link needs of every message that it carries. */
+/** Base type of all messages that a link carries. */
 export interface LinkMessage {
   readonly kind: string
 }
 
 /** First message on every link. */
-export interface LinkHello extends LinkMessage {
+export interface HelloMessage extends LinkMessage {
   readonly kind: 'hello'
   readonly nodeId: string
-  /** Whether the sender reads frames with numbered fields; nodes of before them leave it out. */
+  /** Whether the sender reads frames with numbered fields; absent in versions that do not. */
   readonly readsNumberedFields?: boolean
 }
 
@@ -29,9 +29,9 @@
   | {
     readonly kind: 'hello'
     readonly nodeId: string
-    /** Null on nodes without the role control. */
+    /** Null on nodes without the control role. */
     readonly control: ControlPeer | null
-    /** Whether this node reads frames with numbered fields; nodes of before them leave it out. */
+    /** Whether the sender reads frames with numbered fields; absent in versions that do not. */
     readonly readsNumberedFields?: boolean
   }
   | { readonly kind: 'ping' }
@@ -48,7 +48,7 @@
     readonly requestId: string
     readonly result: ControlResult
   }
-  /** `sentAtMs` is the sender's monotonic clock; the lease counts from it. */
+  /** `sentAtMs` is the sender's monotonic time, from which the duration of the lease is counted. */
   | { readonly kind: 'feed_request', readonly version: number, readonly sentAtMs: number }
   | {
     readonly kind: 'feed'
@@ -56,28 +56,28 @@
     readonly leaderNodeId: string
     readonly content: FeedContent
     readonly drains: readonly Drain[]
-    /** Echo of `sentAtMs`; null when the leader sends a change without being asked, which renews no lease. */
+    /** Echo of `sentAtMs`; null if the leader pushes a change without a request, which renews no lease. */
     readonly requestSentAtMs: number | null
     readonly leaseMs: number
   }
   | { readonly kind: 'members', readonly records: readonly AgedRecord[] }
   | { readonly kind: 'load', readonly report: LoadReport }
 
-/** Bytes of the length prefix. */
+/** Size of the length prefix. */
 export const FRAME_HEADER_BYTES = 4
-/** A frame above this closes the link; snapshots travel in smaller chunks. */
+/** A larger frame closes the link; snapshots are sent in smaller chunks. */
 export const MAX_FRAME_BYTES = 32 * 1024 * 1024
 
 /**
- * How the fields of a frame are named: as text, which every node reads, or by the positions of `NUMBERED_FIELDS`. A
- * receiver reads both.
+ * Encoding of field names: as text, which nodes of all versions read, or as positions in `NUMBERED_FIELDS`. The
+ * decoder accepts both.
  */
 export type FrameFormat = 'named' | 'numbered'
 
 /**
- * Field names that are sent as their position in this list, which takes one byte up to 23 and two from there on. Other
- * names are sent as text, and a name in the list is also read as text. Positions are part of the protocol: append new
- * names and never move or remove one. Keys of messages are strings; a key that is a number would be read as a name.
+ * Field names that are encoded as their position in this list: one byte for positions up to 23, two bytes above. All
+ * other names are encoded as text. Positions are part of the protocol: only append names, never move or remove one.
+ * Message keys must be strings, as a number is decoded as a position in this list.
  */
 export const NUMBERED_FIELDS: readonly string[] = [
   'kind', 'from', 'to', 'message', 'nodeId', 'diskId', 'term', 'previousIndex', 'previousTerm', 'entries',
@@ -91,7 +91,7 @@
   'backendServerId', 'services', 'slots', 'connections'
 ]
 
-/** Shared structures would need state that both ends agree on, so each message is self-contained. */
+/** Every message is self-contained: shared record structures would need state on both ends of a link. */
 const namedCodec = new Encoder({ useRecords: false, mapsAsObjects: true })
 const numberedCodec = new Encoder({
   useRecords: false,
@@ -100,7 +100,7 @@
 })
 
 /**
- * Encodes a message as one frame.
+ * Encodes a message as a frame.
  *
  * @example
  * socket.write(encodeFrame({ kind: 'ping' }))
@@ -121,7 +121,7 @@
   #bufferedBytes = 0
 
   /**
-   * Takes received bytes and returns the messages that are complete.
+   * Appends received bytes and returns the messages that are now complete.
    *
    * @throws RangeError for a frame above `MAX_FRAME_BYTES`, and the codec's error for a malformed body
    */
@@ -137,25 +137,25 @@
 
   #nextBody (): Buffer | undefined {
     if (this.#bufferedBytes < FRAME_HEADER_BYTES) return undefined
-    const lengthBytes = this.#peekLength()
+    const lengthBytes = this.#peekBodyLength()
     if (lengthBytes > MAX_FRAME_BYTES) {
-      throw new RangeError(`a frame of ${lengthBytes} bytes is above the limit of ${MAX_FRAME_BYTES}`)
+      throw new RangeError(`a frame of ${lengthBytes} bytes exceeds the limit of ${MAX_FRAME_BYTES}`)
     }
     const frameBytes = FRAME_HEADER_BYTES + lengthBytes
     if (this.#bufferedBytes < frameBytes) return undefined
-    const joined = this.#join()
+    const joined = this.#joinChunks()
     this.#chunks = joined.length > frameBytes ? [joined.subarray(frameBytes)] : []
     this.#bufferedBytes = joined.length - frameBytes
     return joined.subarray(FRAME_HEADER_BYTES, frameBytes)
   }
 
-  #peekLength (): number {
+  #peekBodyLength (): number {
     const first = this.#chunks[0]
     if (first !== undefined && first.length >= FRAME_HEADER_BYTES) return first.readUInt32BE(0)
-    return this.#join().readUInt32BE(0)
+    return this.#joinChunks().readUInt32BE(0)
   }
 
-  #join (): Buffer {
+  #joinChunks (): Buffer {
     const joined = this.#chunks.length === 1 ? this.#chunks[0] as Buffer : Buffer.concat(this.#chunks)
     this.#chunks = [joined]
     return joined
--- a/packages/node/src/replica-host.ts
+++ b/packages/node/src/replica-host.ts
@@ -1,4 +1,4 @@
-/** A state machine on a replicated log: applies commits, takes snapshots, follows the role of its replica. */
+/** Runs a state machine on a replicated log: applies committed entries, takes snapshots, follows the replica's role. */
 import type { Clock, EventLog, Metrics, Random } from '@comfreygrade/core'
 import {
   Replica, type EntryBody, type LogStorage, type RecoveredLog, type ReplicaEffect, type ReplicaSettings, type Snapshot,
@@ -8,16 +8,16 @@
 
 type EffectOf<Command, K extends ReplicaEffect<Command>['kind']> = Extract<ReplicaEffect<Command>, { kind: K }>
 
-/** Deterministic state that a log drives. */
+/** Deterministic state machine that applies the commands of a replicated log. */
 export abstract class StateMachine<Command> {
-  /** Applies a committed command; `proposalId` names the proposal that it came from. */
+  /** Applies a committed command; `proposalId` identifies the proposal that it came from. */
   abstract apply (command: Command, proposalId: string, index: number, logTimeMs: number): void
   abstract encodeSnapshot (): Uint8Array
   abstract restore (content: Uint8Array): void
-  /** This replica leads, and the state holds everything that was committed before. */
+  /** Called when this replica leads and the state includes everything committed in earlier terms. */
   abstract leadershipStarted (term: number): void
   abstract leadershipEnded (): void
-  /** `isCertain` where the proposal can never take effect. */
+  /** `isCertain` is true if the proposal can never be committed, and false if its outcome is unknown. */
   abstract proposalRejected (proposalId: string, isCertain: boolean): void
 }
 
@@ -29,7 +29,7 @@
   readonly replicaSettings: ReplicaSettings
   readonly snapshotAfterEntries: number
   readonly random: Random
-  /** A clock that goes on while the process stands still, so that a lease never outlives a suspension. */
+  /** Must advance while the process is suspended, so that leases expire during a suspension. */
   readonly clock: Clock
   readonly metrics: Metrics
   readonly log: EventLog
@@ -37,14 +37,14 @@
   readonly storageFailed: (error: unknown) => void
 }
 
-/** Runs one replica and its state machine on the event loop. */
+/** Connects a replica with its storage and its state machine, on the event loop. */
 export class ReplicaHost<Command> {
   readonly #options: ReplicaHostOptions<Command>
   #runner: ReplicaRunner<Command> | undefined
   #appliedIndex = 0
   #appliedTerm = 0
   #snapshotIndex = 0
-  #isSnapshotUnderWay = false
+  #isSnapshotInProgress = false
   #isInitialising = false
   #isLeading = false
 
@@ -52,22 +52,22 @@
     this.#options = options
   }
 
-  /** The replica, or null before its first start is complete. */
+  /** The replica, or null until the log is initialised. */
   get replica (): Replica<Command> | null {
     return this.#runner?.replica ?? null
   }
 
-  /** Whether the log is being written for the first time. */
+  /** Whether the first voter set is being, or has been, written to an empty disk. */
   get isInitialising (): boolean {
     return this.#isInitialising
   }
 
-  /** Whether this node leads and may answer reads. */
+  /** Whether this node leads and holds a quorum lease, so that it may serve reads. */
   get isActiveLeader (): boolean {
     return this.#isLeading && (this.replica?.hasQuorumLease(this.#options.clock.monotonicMs()) ?? false)
   }
 
-  /** Writes the first voter set to an empty disk and starts. */
+  /** Bootstraps the log on an empty disk with the first voter set and starts the replica. */
   initialise (voters: readonly VoterId[]): void {
     const { storage, storageFailed } = this.#options
     const initial = Replica.initialLog<Command>(voters)
@@ -76,10 +76,10 @@
     storage.persist({ kind: 'persist', persistId: 0, hardState, entries }).then(() => { this.run(initial) }, storageFailed)
   }
 
-  /** Starts from what the disk holds. */
+  /** Starts the replica from the recovered log. */
   run (recovered: RecoveredLog<Command>): void {
     const { self, replicaSettings, random, clock, storage, storageFailed } = this.#options
-    // Log time starts from wall time at the first leader; later leaders go on from the log.
+    // The first leader takes wall time as the origin of log time; later leaders continue from the log.
     const originLogTimeMs = Math.floor(clock.wallMs())
     const replica = new Replica<Command>({ id: self, settings: replicaSettings, recovered, random, originLogTimeMs })
     this.#runner = new ReplicaRunner(replica, storage, clock, {
@@ -93,12 +93,12 @@
     this.#runner.step({ kind: 'tick' })
   }
 
-  /** Hands an event to the replica. */
+  /** Passes an event to the replica. */
   step (event: Parameters<ReplicaRunner<Command>['step']>[0]): void {
     this.#runner?.step(event)
   }
 
-  /** Stops timers and closes the disk. */
+  /** Stops the replica and closes the storage. */
   async stop (): Promise<void> {
     this.#runner?.stop()
     this.#endLeadership()
@@ -107,7 +107,7 @@
 
   #apply (effect: EffectOf<Command, 'apply'>): void {
     for (const entry of effect.entries) {
-      if (entry.body.kind === 'voters') this.#votersCommitted(entry.body)
+      if (entry.body.kind === 'voters') this.#logCommittedVoters(entry.body)
       this.#appliedIndex = entry.index
       this.#appliedTerm = entry.term
       if (entry.body.kind !== 'command') continue
@@ -115,10 +115,10 @@
       this.#options.machine.apply(command, proposalId, entry.index, entry.logTimeMs)
     }
     this.#startLeadershipIfCurrent()
-    this.#snapshotIfDue(effect)
+    this.#takeSnapshotIfDue(effect)
   }
 
-  #votersCommitted ({ voters, outgoingVoters }: Extract<EntryBody<Command>, { kind: 'voters' }>): void {
+  #logCommittedVoters ({ voters, outgoingVoters }: Extract<EntryBody<Command>, { kind: 'voters' }>): void {
     if (outgoingVoters.length > 0) return
     this.#options.log.info('voter set in force', { voters: voters.map(voter => `${voter.nodeId}/${voter.diskId}`) })
   }
@@ -141,7 +141,7 @@
     if (role !== 'leader') this.#endLeadership()
   }
 
-  /** The state is complete once an entry of the leader's own term is applied. */
+  /** A leader's state is up to date once it has applied an entry of its own term (Raft, section 8). */
   #startLeadershipIfCurrent (): void {
     const { replica } = this
     if (this.#isLeading || replica?.role !== 'leader' || this.#appliedTerm !== replica.term) return
@@ -157,18 +157,18 @@
     this.#options.log.info('control leadership ended')
   }
 
-  #snapshotIfDue (effect: EffectOf<Command, 'apply'>): void {
+  #takeSnapshotIfDue (effect: EffectOf<Command, 'apply'>): void {
     const last = effect.entries.at(-1)
     const runner = this.#runner
-    if (last === undefined || runner === undefined || this.#isSnapshotUnderWay) return
+    if (last === undefined || runner === undefined || this.#isSnapshotInProgress) return
     if (this.#appliedIndex - this.#snapshotIndex < this.#options.snapshotAfterEntries) return
     const content = this.#options.machine.encodeSnapshot()
     const snapshot = { ...runner.replica.describeSnapshot(last.index), content }
-    this.#isSnapshotUnderWay = true
+    this.#isSnapshotInProgress = true
     this.#snapshotIndex = last.index
     this.#options.storage.saveSnapshot(snapshot).then(
       () => {
-        this.#isSnapshotUnderWay = false
+        this.#isSnapshotInProgress = false
         runner.step({ kind: 'snapshot_saved', snapshot })
       },
       (error: unknown) => { this.#options.storageFailed(error) }
--- a/packages/node/src/replica-runner.ts
+++ b/packages/node/src/replica-runner.ts
@@ -1,15 +1,15 @@
-/** Drives one consensus replica: timers, disk and effects, one event at a time. */
+/** Drives one consensus replica: timers, storage and effects, one event at a time. */
 import type { Clock } from '@comfreygrade/core'
 import type { LogStorage, Replica, ReplicaEffect, ReplicaEvent } from '@comfreygrade/consensus'
 
-/** What a replica's effects are turned into. */
-export interface ReplicaHandlers<Command> {
+/** Handlers for the effects of a replica, except `persist`, which goes to the storage. */
+export interface ReplicaEffectHandlers<Command> {
   readonly send: (effect: Extract<ReplicaEffect<Command>, { kind: 'send' }>) => void
   readonly apply: (effect: Extract<ReplicaEffect<Command>, { kind: 'apply' }>) => void
   readonly restore: (effect: Extract<ReplicaEffect<Command>, { kind: 'restore' }>) => void
   readonly roleChanged: (effect: Extract<ReplicaEffect<Command>, { kind: 'role_changed' }>) => void
   readonly proposalRejected: (effect: Extract<ReplicaEffect<Command>, { kind: 'proposal_rejected' }>) => void
-  /** The disk failed; the process must end without acknowledging anything more. */
+  /** The storage failed; the process must exit without acknowledging anything more. */
   readonly storageFailed: (error: unknown) => void
 }
 
@@ -18,7 +18,7 @@
   readonly replica: Replica<Command>
   readonly #storage: LogStorage<Command>
   readonly #clock: Clock
-  readonly #handlers: ReplicaHandlers<Command>
+  readonly #handlers: ReplicaEffectHandlers<Command>
   readonly #queue: Array<ReplicaEvent<Command>> = []
   #isRunning = false
   #isStopped = false
@@ -28,7 +28,7 @@
     replica: Replica<Command>,
     storage: LogStorage<Command>,
     clock: Clock,
-    handlers: ReplicaHandlers<Command>
+    handlers: ReplicaEffectHandlers<Command>
   ) {
     this.replica = replica
     this.#storage = storage
@@ -36,7 +36,7 @@
     this.#handlers = handlers
   }
 
-  /** Handles an event; events raised while another is handled wait for its end. */
+  /** Handles an event; events raised by its effects are queued and handled afterwards. */
   step (event: ReplicaEvent<Command>): void {
     if (this.#isStopped) return
     this.#queue.push(event)
@@ -44,19 +44,19 @@
     this.#isRunning = true
     for (let next = this.#queue.shift(); next !== undefined; next = this.#queue.shift()) {
       const effects = this.replica.step(next, this.#clock.monotonicMs())
-      for (const effect of effects) this.#carryOut(effect)
+      for (const effect of effects) this.#executeEffect(effect)
     }
     this.#isRunning = false
-    this.#schedule()
+    this.#scheduleTick()
   }
 
-  /** Stops timers and ignores everything that follows. */
+  /** Stops the timer and ignores all further events. */
   stop (): void {
     this.#isStopped = true
     clearTimeout(this.#timer)
   }
 
-  #carryOut (effect: ReplicaEffect<Command>): void {
+  #executeEffect (effect: ReplicaEffect<Command>): void {
     switch (effect.kind) {
       case 'send': this.#handlers.send(effect); break
       case 'persist': this.#persist(effect); break
@@ -74,10 +74,10 @@
     )
   }
 
-  #schedule (): void {
+  #scheduleTick (): void {
     clearTimeout(this.#timer)
     if (this.#isStopped) return
-    // Without a due time the replica waits for a message; setTimeout would turn Infinity into 1 ms.
+    // A replica without a due time waits for a message; setTimeout would treat Infinity as 1 ms.
     const wakeAtMs = this.replica.nextWakeAtMs()
     if (wakeAtMs === Infinity) return
     const delayMs = Math.max(0, wakeAtMs - this.#clock.monotonicMs())
--- a/packages/node/src/request-service.ts
+++ b/packages/node/src/request-service.ts
@@ -1,15 +1,15 @@
-/** Front end of the request router: holds bodies and answers, carries out its effects. */
+/** Executes short requests: keeps their bodies and answers, and executes the effects of the request router. */
 import { createHash, randomUUID } from 'node:crypto'
 import { failure, type Clock, type Failure, type Metrics, type RequestSpec, type Result } from '@comfreygrade/core'
 import type { ControlOperation, ControlResult, RecordedAnswer } from '@comfreygrade/control'
 import type { ClaimDecision, ClaimOutcome, RequestRouter, RoutingEffect, RoutingEvent } from '@comfreygrade/routing'
 import type { BackendAnswer, BackendClient, PendingAttempt } from './backend-client.js'
 
-/** What a caller gets back. */
-export interface RequestAnswer {
+/** Answer to a short request, with details of its execution for the caller. */
+export interface RequestResult {
   readonly answer: BackendAnswer
   readonly attempts: number
-  /** Whether the answer was recorded under the idempotency key, or is such a record. */
+  /** `recorded` if the answer is recorded under the idempotency key, `replayed` if it was taken from such a record. */
   readonly claim: 'none' | 'recorded' | 'replayed'
 }
 
@@ -19,63 +19,63 @@
   readonly backendClient: BackendClient
   readonly clock: Clock
   readonly metrics: Metrics
-  readonly askControl: (operation: ControlOperation, timeoutMs?: number) => Promise<ControlResult>
+  readonly executeOperation: (operation: ControlOperation, timeoutMs?: number) => Promise<ControlResult>
 }
 
 interface OpenRequest {
-  /** As the caller sent it; the router knows the request by an ID of this node. */
+  /** The request with the caller's ID; the router sees it under `id`. */
   readonly spec: RequestSpec
   readonly body: Buffer
   readonly id: string
-  readonly finish: (result: Result<RequestAnswer>) => void
+  readonly finish: (result: Result<RequestResult>) => void
   readonly attempts: Map<number, PendingAttempt>
   readonly answers: Map<number, BackendAnswer>
   isClaimed: boolean
   replay: RecordedAnswer | undefined
 }
 
-/** How long the outcome of a claim is offered to the leader again. */
-const SETTLE_TIMEOUT_MS = 30_000
-/** Header value limit for times; `setTimeout` takes no more. */
-const MAX_TIMER_MS = 2_147_483_647
+/** Time for which the settlement of a claim is retried. */
+const SETTLEMENT_TIMEOUT_MS = 30_000
+/** Longest delay that `setTimeout` accepts. */
+const MAX_TIMER_DELAY_MS = 2_147_483_647
 
-/** Executes short requests through the router. */
+/** Executes short requests through the router, with a claim for each request that has an idempotency key. */
 export class RequestService {
   readonly #options: RequestServiceOptions
-  readonly #open = new Map<string, OpenRequest>()
-  readonly #settling = new Set<Promise<unknown>>()
-  /** Answers of claimed requests between `answer` and `settle_claim`. */
+  readonly #requests = new Map<string, OpenRequest>()
+  readonly #settlements = new Set<Promise<unknown>>()
+  /** Answers of claimed requests, kept from the `answer` effect until `settle_claim`. */
   readonly #claimedAnswers = new Map<string, RecordedAnswer>()
-  /** Requests whose claim was granted, until it is settled. */
-  readonly #claimants = new Map<string, OpenRequest>()
+  /** Requests that hold a granted claim which is not settled yet. */
+  readonly #claimedRequests = new Map<string, OpenRequest>()
   #timer: NodeJS.Timeout | undefined
-  #timerAtMs = Infinity
+  #timerDueAtMs = Infinity
 
   constructor (options: RequestServiceOptions) {
     this.#options = options
   }
 
-  /** Number of requests without an answer yet. */
+  /** Number of requests that have not been answered yet. */
   get openRequests (): number {
-    return this.#open.size
+    return this.#requests.size
   }
 
-  /** Runs one request to its end. `onCancel` receives a function for when the caller goes away. */
+  /** Executes one request; `onCancel` receives a function to call when the caller disconnects. */
   async execute (
     spec: RequestSpec,
     body: Buffer,
     onCancel: (cancel: () => void) => void
-  ): Promise<Result<RequestAnswer>> {
+  ): Promise<Result<RequestResult>> {
     const arrivedAtMs = this.#options.clock.monotonicMs()
-    // Callers choose their request IDs, so two open requests may share one.
+    // Callers choose their request IDs, so two open requests may have the same one.
     const id = randomUUID()
     return await new Promise(resolve => {
-      const finish = (result: Result<RequestAnswer>): void => {
-        this.#open.delete(id)
+      const finish = (result: Result<RequestResult>): void => {
+        this.#requests.delete(id)
         this.#options.metrics.timing('request.duration', this.#options.clock.monotonicMs() - arrivedAtMs)
         resolve(result)
       }
-      const open = {
+      const openRequest = {
         spec,
         body,
         id,
@@ -85,37 +85,36 @@
         isClaimed: false,
         replay: undefined
       }
-      this.#open.set(id, open)
-      onCancel(() => { this.dispatchEvent({ kind: 'caller_gone', requestId: id }) })
-      this.dispatchEvent({ kind: 'arrived', request: { ...spec, requestId: id } })
+      this.#requests.set(id, openRequest)
+      onCancel(() => { this.handleEvent({ kind: 'caller_gone', requestId: id }) })
+      this.handleEvent({ kind: 'arrived', request: { ...spec, requestId: id } })
     })
   }
 
-  /** Reads the router's next due time again, after servers or the load of peers have changed. */
-  wake (): void {
-    this.#schedule()
+  /** Reschedules the timer after a change of the backend servers or of the peers' load. */
+  reschedule (): void {
+    this.#scheduleTick()
   }
 
-  /** Feeds one event to the router and carries out the effects. */
-  dispatchEvent (event: RoutingEvent): void {
+  /** Passes an event to the router and executes the effects. */
+  handleEvent (event: RoutingEvent): void {
     const effects = this.#options.router.handle(event, this.#options.clock.monotonicMs())
-    for (const effect of effects) if (effect.kind !== 'settle_claim') this.#carryOut(effect)
-    // A claim is settled with the answer that the caller got, so answers go first.
-    for (const effect of effects) if (effect.kind === 'settle_claim') this.#settle(effect)
-    this.#schedule()
+    for (const effect of effects) if (effect.kind !== 'settle_claim') this.#executeEffect(effect)
+    // A claim is settled with the answer that the caller got, so `answer` effects are executed first.
+    for (const effect of effects) if (effect.kind === 'settle_claim') this.#settleClaim(effect)
+    this.#scheduleTick()
   }
 
-  /** Resolves when the outcomes of all claims were offered to the leader. */
-  async settled (): Promise<void> {
-    await Promise.allSettled([...this.#settling])
+  /** Resolves when no settlement of a claim is in progress any more. */
+  async awaitSettlements (): Promise<void> {
+    await Promise.allSettled([...this.#settlements])
   }
 
-  /** Stops the timer. */
   close (): void {
     clearTimeout(this.#timer)
   }
 
-  #carryOut (effect: Exclude<RoutingEffect, { kind: 'settle_claim' }>): void {
+  #executeEffect (effect: Exclude<RoutingEffect, { kind: 'settle_claim' }>): void {
     switch (effect.kind) {
       case 'claim': this.#claim(effect.request); break
       case 'dispatch': this.#dispatch(effect); break
@@ -126,130 +125,130 @@
 
   #dispatch (effect: Extract<RoutingEffect, { kind: 'dispatch' }>): void {
     const { request, attempt, backendServer } = effect
-    const open = this.#open.get(request.requestId)
-    if (open === undefined) return
+    const openRequest = this.#requests.get(request.requestId)
+    if (openRequest === undefined) return
     const nowMs = this.#options.clock.monotonicMs()
     const pending = this.#options.backendClient.send({
       backendServer,
       service: request.service,
-      headers: dispatchHeaders(open.spec, attempt, nowMs),
-      body: open.body,
+      headers: createAttemptHeaders(openRequest.spec, attempt, nowMs),
+      body: openRequest.body,
       timeoutMs: Math.max(1, effect.timeoutAtMs - nowMs)
     })
-    open.attempts.set(attempt, pending)
-    this.#awaitAttempt(open, attempt, pending)
+    openRequest.attempts.set(attempt, pending)
+    this.#awaitAttempt(openRequest, attempt, pending)
   }
 
-  async #awaitAttempt (open: OpenRequest, attempt: number, pending: PendingAttempt): Promise<void> {
-    const requestId = open.id
+  async #awaitAttempt (openRequest: OpenRequest, attempt: number, pending: PendingAttempt): Promise<void> {
+    const requestId = openRequest.id
     const result = await pending.result
-    open.attempts.delete(attempt)
+    openRequest.attempts.delete(attempt)
     if (result.kind === 'answered') {
-      open.answers.set(attempt, result.answer)
+      openRequest.answers.set(attempt, result.answer)
       const quality = result.answer.status >= 500 ? 'server_error' : 'success'
-      this.dispatchEvent({ kind: 'answered', requestId, attempt, quality })
+      this.handleEvent({ kind: 'answered', requestId, attempt, quality })
     } else {
       const { progress, reason } = result
-      this.dispatchEvent({ kind: 'attempt_failed', requestId, attempt, progress, reason })
+      this.handleEvent({ kind: 'attempt_failed', requestId, attempt, progress, reason })
     }
   }
 
   #answer (requestId: string, attempt: number): void {
-    const open = this.#open.get(requestId)
-    const answer = open?.answers.get(attempt)
-    if (open === undefined || answer === undefined) return
-    this.#abandonAttempts(open)
-    if (open.isClaimed) this.#claimedAnswers.set(requestId, answer)
-    const claim = open.isClaimed ? 'recorded' : 'none'
-    open.finish({ ok: true, value: { answer, attempts: attempt, claim } })
+    const openRequest = this.#requests.get(requestId)
+    const answer = openRequest?.answers.get(attempt)
+    if (openRequest === undefined || answer === undefined) return
+    this.#abortAttempts(openRequest)
+    if (openRequest.isClaimed) this.#claimedAnswers.set(requestId, answer)
+    const claim = openRequest.isClaimed ? 'recorded' : 'none'
+    openRequest.finish({ ok: true, value: { answer, attempts: attempt, claim } })
   }
 
   #refuse (requestId: string, cause: Failure): void {
-    const open = this.#open.get(requestId)
-    if (open === undefined) return
-    this.#abandonAttempts(open)
-    if (open.replay !== undefined) {
-      const { status, contentType, body } = open.replay
+    const openRequest = this.#requests.get(requestId)
+    if (openRequest === undefined) return
+    this.#abortAttempts(openRequest)
+    if (openRequest.replay !== undefined) {
+      const { status, contentType, body } = openRequest.replay
       const answer = { status, contentType, body: Buffer.from(body) }
-      open.finish({ ok: true, value: { answer, attempts: 0, claim: 'replayed' } })
+      openRequest.finish({ ok: true, value: { answer, attempts: 0, claim: 'replayed' } })
       return
     }
-    open.finish({ ok: false, failure: cause })
+    openRequest.finish({ ok: false, failure: cause })
   }
 
-  #abandonAttempts (open: OpenRequest): void {
-    for (const pending of open.attempts.values()) pending.abort()
+  #abortAttempts (openRequest: OpenRequest): void {
+    for (const pending of openRequest.attempts.values()) pending.abort()
   }
 
   async #claim (request: RequestSpec): Promise<void> {
-    const open = this.#open.get(request.requestId)
-    if (open === undefined || request.idempotencyKey === undefined) return
+    const openRequest = this.#requests.get(request.requestId)
+    if (openRequest === undefined || request.idempotencyKey === undefined) return
     const remainingMs = request.deadlineAtMs - this.#options.clock.monotonicMs()
-    const result = await this.#options.askControl({
+    const result = await this.#options.executeOperation({
       kind: 'claim_request',
       organisationId: request.organisationId,
       key: request.idempotencyKey,
-      digest: digestOf(request.service, open.body),
-      claimantId: open.id
+      digest: computeDigest(request.service, openRequest.body),
+      claimantId: openRequest.id
     }, Math.max(1, remainingMs))
-    const decision = this.#decide(open, result)
-    open.isClaimed = decision.kind === 'granted'
-    if (open.isClaimed) this.#claimants.set(request.requestId, open)
-    // The claim may have been granted without our knowing; nothing was sent, so it must not stay pending.
-    if (!result.ok && result.failure.kind === 'outcome_unknown') this.#sendSettlement(open, 'not_run', null)
-    this.dispatchEvent({ kind: 'claim_decided', requestId: request.requestId, decision })
+    const decision = this.#decideClaim(openRequest, result)
+    openRequest.isClaimed = decision.kind === 'granted'
+    if (openRequest.isClaimed) this.#claimedRequests.set(request.requestId, openRequest)
+    // The claim may have been granted although its result was lost; as nothing was sent, it is settled as not run.
+    if (!result.ok && result.failure.kind === 'outcome_unknown') this.#sendSettlement(openRequest, 'not_run', null)
+    this.handleEvent({ kind: 'claim_decided', requestId: request.requestId, decision })
   }
 
-  #decide (open: OpenRequest, result: ControlResult): ClaimDecision {
+  #decideClaim (openRequest: OpenRequest, result: ControlResult): ClaimDecision {
     if (!result.ok) return { kind: 'refused', failure: result.failure }
     if (result.value.kind !== 'claim') {
-      return { kind: 'refused', failure: failure('internal_error', 'the control leader answered another question') }
+      return { kind: 'refused', failure: failure('internal_error', 'the control leader sent a result of the wrong kind') }
     }
     const { granted, claim } = result.value
     if (granted) return { kind: 'granted' }
-    if (claim.state === 'completed' && claim.answer !== null) open.replay = claim.answer
+    if (claim.state === 'completed' && claim.answer !== null) openRequest.replay = claim.answer
     return { kind: 'refused', failure: claimFailure(claim.state) }
   }
 
-  #settle (effect: Extract<RoutingEffect, { kind: 'settle_claim' }>): void {
+  #settleClaim (effect: Extract<RoutingEffect, { kind: 'settle_claim' }>): void {
     const { request, outcome } = effect
     const answer = outcome === 'completed' ? this.#claimedAnswers.get(request.requestId) ?? null : null
     this.#claimedAnswers.delete(request.requestId)
-    const open = this.#claimants.get(request.requestId)
-    this.#claimants.delete(request.requestId)
-    if (open !== undefined) this.#sendSettlement(open, outcome, answer)
+    const openRequest = this.#claimedRequests.get(request.requestId)
+    this.#claimedRequests.delete(request.requestId)
+    if (openRequest !== undefined) this.#sendSettlement(openRequest, outcome, answer)
   }
 
-  #sendSettlement (open: OpenRequest, state: ClaimOutcome, answer: RecordedAnswer | null): void {
-    const { organisationId, idempotencyKey } = open.spec
+  #sendSettlement (openRequest: OpenRequest, state: ClaimOutcome, answer: RecordedAnswer | null): void {
+    const { organisationId, idempotencyKey } = openRequest.spec
     if (idempotencyKey === undefined) return
-    const settling = this.#options.askControl({
+    const settlement = this.#options.executeOperation({
       kind: 'settle_claim',
       organisationId,
       key: idempotencyKey,
-      claimantId: open.id,
+      claimantId: openRequest.id,
       state,
       answer
-    }, SETTLE_TIMEOUT_MS)
-    this.#settling.add(settling)
-    settling.finally(() => { this.#settling.delete(settling) })
+    }, SETTLEMENT_TIMEOUT_MS)
+    this.#settlements.add(settlement)
+    settlement.finally(() => { this.#settlements.delete(settlement) })
   }
 
-  #schedule (): void {
+  #scheduleTick (): void {
     const wakeAtMs = this.#options.router.nextWakeAtMs() ?? Infinity
-    if (wakeAtMs === this.#timerAtMs) return
+    if (wakeAtMs === this.#timerDueAtMs) return
     clearTimeout(this.#timer)
-    this.#timerAtMs = wakeAtMs
+    this.#timerDueAtMs = wakeAtMs
     if (wakeAtMs === Infinity) return
-    const delayMs = Math.min(MAX_TIMER_MS, Math.max(0, wakeAtMs - this.#options.clock.monotonicMs()))
+    const delayMs = Math.min(MAX_TIMER_DELAY_MS, Math.max(0, wakeAtMs - this.#options.clock.monotonicMs()))
     this.#timer = setTimeout(() => {
-      this.#timerAtMs = Infinity
-      this.dispatchEvent({ kind: 'tick' })
+      this.#timerDueAtMs = Infinity
+      this.handleEvent({ kind: 'tick' })
     }, delayMs)
   }
 }
 
-function dispatchHeaders (request: RequestSpec, attempt: number, nowMs: number): Record<string, string> {
+function createAttemptHeaders (request: RequestSpec, attempt: number, nowMs: number): Record<string, string> {
   const headers: Record<string, string> = {
     'content-type': request.contentType ?? 'application/octet-stream',
     'comfreygrade-request-id': request.requestId,
@@ -263,13 +262,13 @@
 
 function claimFailure (state: string): Failure {
   switch (state) {
-    case 'completed': return failure('claim_completed', 'the request with this key has completed; its answer was not kept')
-    case 'pending': return failure('claim_in_progress', 'a request with this key is under way')
+    case 'completed': return failure('claim_completed', 'the request with this key has completed; no answer is recorded for it')
+    case 'pending': return failure('claim_in_progress', 'a request with this key is in progress')
     default: return failure('outcome_unknown', 'an earlier request with this key ended with an unknown outcome')
   }
 }
 
-/** Digest by which a repeated key with other content is recognised. */
-function digestOf (service: string, body: Buffer): string {
+/** Digest of service and body, which detects an idempotency key that is reused for another request. */
+function computeDigest (service: string, body: Buffer): string {
   return createHash('sha256').update(service).update('\0').update(body).digest('base64url')
 }
--- a/packages/node/src/roarr-environment.ts
+++ b/packages/node/src/roarr-environment.ts
@@ -1,2 +1,2 @@
-/** Imported before `roarr`, which decides at its import whether it writes anything in Node.js. */
+/** Must be imported before `roarr`, which reads `ROARR_LOG` at import to decide whether to write log lines. */
 process.env.ROARR_LOG ??= 'true'
--- a/packages/node/src/scheduler-adapter.ts
+++ b/packages/node/src/scheduler-adapter.ts
@@ -1,11 +1,11 @@
-/** Connects the gang scheduler to the ports of the control leader. */
+/** Adapts the gang scheduler to the scheduler port of the control leader. */
 import type { Configuration, Failure, JobExplanation, JobSpec, Placement } from '@comfreygrade/core'
 import { GuaranteeValidator, JobScheduler } from '@comfreygrade/control'
 import {
   BuddyCellPolicy, GangScheduler, type FleetReport, type PlacementDecision, type PlacementSettings, type ReclaimCheck
 } from '@comfreygrade/placement'
 
-/** Refuses guarantees that the inventory cannot hold. */
+/** Rejects guarantees that the inventory cannot satisfy. */
 export class PlacementValidator extends GuaranteeValidator {
   override validate (configuration: Configuration): Failure | undefined {
     return GangScheduler.validateGuarantees(configuration)
@@ -13,15 +13,15 @@
 }
 
 /**
- * The gang scheduler of one term.
+ * The gang scheduler of one leader term.
  *
- * Control releases a job and, for a requeue, submits it again in the same event. The scheduler must then see one job
- * that waits again, not a new one: otherwise the job would lose its place in the queue and the record of the workers
- * on which it failed. So a release is held back until the next call shows which of the two it is.
+ * The control leader requeues a job by releasing it and submitting it again within the same event. The scheduler must
+ * see this as one job that waits again: a new job would lose its queue position and the record of the workers on which
+ * it failed. A release is therefore buffered until the next call shows whether the job is submitted again.
  */
 export class SchedulerAdapter extends JobScheduler {
   readonly #scheduler: GangScheduler
-  readonly #released = new Map<string, number>()
+  readonly #pendingReleases = new Map<string, number>()
 
   constructor (settings: PlacementSettings) {
     super()
@@ -29,7 +29,7 @@
   }
 
   override applyConfiguration (configuration: Configuration): void {
-    this.#endReleased()
+    this.#flushPendingReleases()
     this.#scheduler.applyConfiguration(configuration)
   }
 
@@ -47,7 +47,7 @@
   }
 
   override submit (job: JobSpec, nowMs: number): Failure | undefined {
-    if (!this.#released.delete(job.jobId)) return this.#scheduler.submit(job, nowMs)
+    if (!this.#pendingReleases.delete(job.jobId)) return this.#scheduler.submit(job, nowMs)
     this.#scheduler.reclaimed(job.jobId, nowMs)
     return undefined
   }
@@ -65,15 +65,15 @@
   }
 
   override ended (jobId: string, nowMs: number): void {
-    this.#released.set(jobId, nowMs)
+    this.#pendingReleases.set(jobId, nowMs)
   }
 
   override reclaimed (jobId: string, nowMs: number): void {
-    this.#released.set(jobId, nowMs)
+    this.#pendingReleases.set(jobId, nowMs)
   }
 
   override pass (nowMs: number): PlacementDecision[] {
-    this.#endReleased()
+    this.#flushPendingReleases()
     return this.#scheduler.pass(nowMs)
   }
 
@@ -82,17 +82,17 @@
   }
 
   override report (): FleetReport {
-    this.#endReleased()
+    this.#flushPendingReleases()
     return this.#scheduler.report()
   }
 
   override checkReclaimable (): ReclaimCheck {
-    this.#endReleased()
+    this.#flushPendingReleases()
     return this.#scheduler.checkReclaimable()
   }
 
-  #endReleased (): void {
-    for (const [jobId, releasedMs] of this.#released) this.#scheduler.ended(jobId, releasedMs)
-    this.#released.clear()
+  #flushPendingReleases (): void {
+    for (const [jobId, releasedMs] of this.#pendingReleases) this.#scheduler.ended(jobId, releasedMs)
+    this.#pendingReleases.clear()
   }
 }
--- a/packages/node/src/settings.ts
+++ b/packages/node/src/settings.ts
@@ -1,4 +1,4 @@
-/** Settings of a node: a YAML file checked by a schema, with all errors reported at once. */
+/** Settings of a node: a YAML file that is validated against a schema, with all errors reported at once. */
 import { readYaml, UNKNOWN_FIELD, type FieldProblem, type FileReading } from '@comfreygrade/documents'
 import { z } from 'zod'
 
@@ -27,7 +27,7 @@
 const limitsSchema = z.strictObject({
   maxBodyBytes: z.int().min(1024).max(64 * 1024 * 1024).default(8 * 1024 * 1024),
   maxHeaderBytes: z.int().min(1024).max(64 * 1024).default(16 * 1024),
-  /** A caller that sends slower than this is disconnected, so that it cannot hold a connection for ever. */
+  /** Time to receive a whole request; slower callers are disconnected so that they cannot occupy connections. */
   requestReceiveTimeoutMs: z.int().min(100).max(600_000).default(15_000),
   maxAnswerBytes: z.int().min(1024).max(256 * 1024 * 1024).default(16 * 1024 * 1024),
   shutdownLimitMs: z.int().min(0).max(600_000).default(30_000)
@@ -51,7 +51,7 @@
   snapshotAfterEntries: z.int().min(10).max(10_000_000).default(5_000)
 })
 
-/** Numbers of a decision package, where the file may override any of its defaults. */
+/** Overrides for the numeric defaults of the routing, placement, consensus or control package. */
 const overridesSchema = z.record(z.string(), z.number()).default({})
 
 const settingsSchema = z.strictObject({
@@ -69,28 +69,28 @@
 }).superRefine((settings, context) => {
   const self = settings.peers.nodes.find(peer => peer.nodeId === settings.node.nodeId)
   if (self === undefined) {
-    const message = `a list with this node, ${settings.node.nodeId}`
+    const message = `a list that includes this node, ${settings.node.nodeId}`
     context.addIssue({ code: 'custom', path: ['peers', 'nodes'], message })
   }
   if (settings.node.roles.includes('control') && settings.node.dataFolder === undefined) {
-    context.addIssue({ code: 'custom', path: ['node', 'dataFolder'], message: 'a folder, which the role control needs' })
+    context.addIssue({ code: 'custom', path: ['node', 'dataFolder'], message: 'a folder, which the control role requires' })
   }
   const ids = settings.peers.nodes.map(peer => peer.nodeId)
   if (new Set(ids).size !== ids.length) {
-    context.addIssue({ code: 'custom', path: ['peers', 'nodes'], message: 'each nodeId once' })
+    context.addIssue({ code: 'custom', path: ['peers', 'nodes'], message: 'unique node IDs' })
   }
 })
 
-/** Checked settings of a node. */
+/** Validated settings of a node. */
 export type Settings = z.infer<typeof settingsSchema>
-/** Another node, or this one, as the settings list it. */
+/** An entry of `peers.nodes`, which lists every node including this one. */
 export type PeerNode = Settings['peers']['nodes'][number]
 
-/** Default numbers of the decision packages, by section of the file. */
+/** Defaults that the settings file can override, by section. */
 export type OverridableDefaults = Readonly<Record<'routing' | 'placement' | 'consensus' | 'control', object>>
 
 /**
- * Reads the text of a settings file and reports all mistakes at once.
+ * Parses and validates a settings file, reporting all errors at once.
  *
  * @example
  * const reading = readSettings('node.yaml', await readFile('node.yaml', 'utf8'), defaults)
@@ -100,7 +100,7 @@
 }
 
 /**
- * Merges the overrides of the file into the defaults of a decision package.
+ * Applies the overrides of a section of the settings file to its defaults.
  *
  * @example
  * mergeOverrides({ heartbeatMs: 100 }, { heartbeatMs: 50 }) // { heartbeatMs: 50 }
--- a/packages/node/src/http-requests.ts
+++ b/packages/node/src/short-request-headers.ts
@@ -1,18 +1,18 @@
-/** Reads the headers of a short request. */
+/** Parses the headers of a short request. */
 import type { IncomingHttpHeaders } from 'node:http'
 import { v7, validate, version } from 'uuid'
 import { fail, succeed, type Repeatability, type RequestSpec, type Result, type Rules } from '@comfreygrade/core'
 import { checkInput, pathIdentifierSchema } from './http-schemas.js'
 
 /**
- * Builds a request from headers, or names the first header that is wrong.
+ * Creates a request from its headers, or fails with the first invalid header.
  *
- * Without `comfreygrade-repeatable` a request counts as non-repeatable, which is always safe.
+ * Without `comfreygrade-repeatable` a request counts as non-repeatable, which is the safe default.
  *
  * @example
- * readRequest('print-billing', { 'comfreygrade-organisation': 'udelar' }, rules, nowMs)
+ * readShortRequest('print-billing', { 'comfreygrade-organisation': 'udelar' }, rules, nowMs)
  */
-export function readRequest (
+export function readShortRequest (
   service: string,
   headers: IncomingHttpHeaders,
   rules: Rules,
@@ -30,7 +30,7 @@
   if (!deadlineMs.ok) return deadlineMs
   const repeatability = readRepeatability(headers)
   if (!repeatability.ok) return repeatability
-  const key = readKey(headers)
+  const key = readIdempotencyKey(headers)
   if (!key.ok) return key
   return succeed({
     requestId: requestId.value,
@@ -66,7 +66,7 @@
   return fail('invalid_request', detail)
 }
 
-function readKey (headers: IncomingHttpHeaders): Result<string | undefined> {
+function readIdempotencyKey (headers: IncomingHttpHeaders): Result<string | undefined> {
   const key = headers['idempotency-key']
   if (key === undefined) return succeed(undefined)
   if (typeof key !== 'string' || !validate(key) || version(key) !== 7) {
--- a/packages/node/src/start-node.ts
+++ b/packages/node/src/start-node.ts
@@ -1,4 +1,4 @@
-/** Creates the adapters of a process and starts its node. */
+/** Composition root: creates the adapters and starts the node. */
 import { randomInt } from 'node:crypto'
 import { mkdir } from 'node:fs/promises'
 import { join } from 'node:path'
@@ -19,7 +19,7 @@
 import { RoarrEventLog } from './roarr-event-log.js'
 import { WorkerClient } from './worker-client.js'
 
-/** Stores snapshots as one CBOR value. */
+/** Encodes a snapshot as a single CBOR value. */
 class CborSnapshotCodec extends SnapshotCodec {
   readonly #codec = new Encoder({ useRecords: false, mapsAsObjects: true })
 
@@ -40,9 +40,9 @@
 }
 
 /**
- * Starts a node with checked settings.
+ * Starts a node from validated settings.
  *
- * @param storageFailed called when the disk fails; the process must end then
+ * @param storageFailed called when the storage fails; the process must then exit
  */
 export async function startNode (settings: Settings, storageFailed: (error: unknown) => void): Promise<Node> {
   const { nodeId } = settings.node
@@ -56,14 +56,14 @@
     settings,
     routingSettings: mergeOverrides(defaultRoutingSettings, settings.routing),
     ...adapters,
-    createControl: await prepareControl(settings, adapters, storageFailed)
+    createControl: await prepareControlFactory(settings, adapters, storageFailed)
   })
   await node.start()
   return node
 }
 
-/** Opens the disk of a control node. */
-async function prepareControl (
+/** Recovers the log of a control node; undefined on a node without the control role. */
+async function prepareControlFactory (
   settings: Settings,
   adapters: Adapters,
   storageFailed: (error: unknown) => void
--- a/packages/node/src/statsd-metrics.ts
+++ b/packages/node/src/statsd-metrics.ts
@@ -1,7 +1,7 @@
 import { StatsD } from 'hot-shots'
 import { CountingMetrics, Metrics, type MetricTags } from '@comfreygrade/core'
 
-/** Where metrics are sent. */
+/** StatsD server that metrics are sent to. */
 export interface MetricsTarget {
   readonly host: string
   readonly port: number
@@ -9,9 +9,9 @@
 }
 
 /**
- * Sends metrics by UDP to a StatsD server and keeps the counters for `GET /v1/status`.
+ * Sends metrics to a StatsD server over UDP and keeps the counters and gauges for `GET /v1/status`.
  *
- * Without a target the counters are only kept.
+ * Without a target nothing is sent.
  */
 export class StatsdMetrics extends Metrics {
   readonly #counters = new CountingMetrics()
@@ -25,7 +25,7 @@
       port: target.port,
       prefix: `${target.prefix}.`,
       globalTags: { node: nodeId },
-      // A lost metric must not end the process.
+      // Without a handler an error of the socket would end the process.
       errorHandler: () => { this.#counters.increment('metrics.send_failed') }
     })
   }
@@ -49,7 +49,7 @@
     return this.#counters.snapshot()
   }
 
-  /** Sends what is buffered and closes the socket. */
+  /** Flushes buffered metrics and closes the socket. */
   async close (): Promise<void> {
     const client = this.#client
     if (client === undefined) return
--- a/packages/node/src/system-clock.ts
+++ b/packages/node/src/system-clock.ts
@@ -1,7 +1,7 @@
 import { performance } from 'node:perf_hooks'
 import type { Clock } from '@comfreygrade/core'
 
-/** The clocks of the operating system. */
+/** Monotonic and wall clock of the operating system. */
 export class SystemClock implements Clock {
   monotonicMs (): number {
     return performance.now()
--- a/packages/node/src/voter-bootstrap.ts
+++ b/packages/node/src/voter-bootstrap.ts
@@ -1,24 +1,24 @@
-/** Decides how a control node with an empty data folder joins the others. */
+/** Bootstrap of the voter set: decides how a control node with an empty data folder joins the other control nodes. */
 import type { VoterId } from '@comfreygrade/consensus'
 
-/** What a control node says about itself in `hello`. */
+/** State that a control node announces in `hello`. */
 export interface ControlPeer {
   readonly voter: VoterId
-  /** Voter set that it knows; null before its first start is complete. */
+  /** Voter set that the node knows; null until its log is initialised. */
   readonly voters: readonly VoterId[] | null
 }
 
-/** What an uninitialised node does next. */
+/** Next step of a node whose log is not initialised. */
 export type BootstrapDecision =
   | { readonly kind: 'wait' }
-  /** Start with this voter set; a node outside it only receives the log until it is made a voter. */
+  /** Initialise with this voter set; a node outside it only receives the log until it becomes a voter. */
   | { readonly kind: 'initialise', readonly voters: readonly VoterId[] }
 
 /**
- * Decides from the last `hello` of each control node.
+ * Decides from the latest `hello` of each control node.
  *
- * A first voter set is formed only when every control node is known and none is initialised, so that a node which lost
- * its disk can never form a second system beside the first.
+ * The first voter set is formed only once every control node has sent a `hello` and none is initialised, so that a node
+ * that lost its disk can never bootstrap a second cluster.
  *
  * @example
  * decideBootstrap(self, ['n1', 'n2', 'n3'], peers)
@@ -39,19 +39,19 @@
 }
 
 /**
- * Whether every control node is a voter with the disk that it announced last, so that no `hello` is waited for.
+ * Whether every control node is a voter with the disk that it announced last, so that no node is waiting for a `hello`.
  *
  * @example
- * isVoterSetSettled({ voter: self, voters: replica.voters }, ['n1', 'n2', 'n3'], peers)
+ * isVoterSetStable({ voter: self, voters: replica.voters }, ['n1', 'n2', 'n3'], peers)
  */
-export function isVoterSetSettled (
+export function isVoterSetStable (
   self: ControlPeer,
   controlNodeIds: readonly string[],
   peers: ReadonlyMap<string, ControlPeer>
 ): boolean {
-  const { voter: own, voters } = self
-  if (voters === null || !includesVoter(voters, own)) return false
-  const others = controlNodeIds.filter(nodeId => nodeId !== own.nodeId)
+  const { voter: selfVoter, voters } = self
+  if (voters === null || !includesVoter(voters, selfVoter)) return false
+  const others = controlNodeIds.filter(nodeId => nodeId !== selfVoter.nodeId)
   return others.every(nodeId => {
     const peer = peers.get(nodeId)
     return peer !== undefined && peer.voters !== null && includesVoter(voters, peer.voter)
@@ -63,7 +63,7 @@
 }
 
 /**
- * Finds a voter whose node has come back with another disk, which can only have lost the old one.
+ * Finds the voter to replace when its node announces another disk: the node has lost its former disk.
  *
  * @returns the voter to remove, or undefined
  * @example
--- a/packages/node/src/worker-client.ts
+++ b/packages/node/src/worker-client.ts
@@ -8,7 +8,7 @@
   results: z.array(z.enum(['accepted', 'refused', 'stale_term', 'unknown_lease']))
 })
 
-/** Sends orders; an order without an answer may or may not have arrived. */
+/** Sends orders; an order without an answer may or may not have reached the worker. */
 export class WorkerClient {
   readonly #agent: Agent
   readonly #timeoutMs: number
@@ -21,7 +21,7 @@
   /**
    * Sends orders to one worker.
    *
-   * @returns one result per order, or undefined when no complete answer came in time
+   * @returns one result per order, or undefined if no complete answer arrived within the timeout
    */
   async send (address: string, term: number, orders: readonly WorkerOrder[]): Promise<OrderResult[] | undefined> {
     try {
--- a/packages/node/test/backend-client.test.ts
+++ b/packages/node/test/backend-client.test.ts
@@ -2,9 +2,9 @@
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import type { BackendServerRecord } from '@comfreygrade/core'
 import { BackendClient, type AttemptResult } from '../src/backend-client.js'
-import { freePort, listen } from './http-fixture.js'
+import { findFreePort, listen } from './http-fixture.js'
 
-function recordOf (port: number): BackendServerRecord {
+function createRecord (port: number): BackendServerRecord {
   return {
     backendServerId: 'b1',
     incarnation: 1,
@@ -19,37 +19,37 @@
   }
 }
 
-async function attempt (port: number, timeoutMs = 2_000): Promise<AttemptResult> {
+async function sendAttempt (port: number, timeoutMs = 2_000): Promise<AttemptResult> {
   const client = new BackendClient({ maxAnswerBytes: 1000, connectTimeoutMs: 500 })
-  const backendServer = recordOf(port)
+  const backendServer = createRecord(port)
   const pending = client.send({ backendServer, service: 'billing', headers: {}, body: Buffer.from('x'), timeoutMs })
   const result = await pending.result
   await client.close()
   return result
 }
 
-async function attemptWith (
+async function sendAttemptToServer (
   handler: (req: IncomingMessage, res: ServerResponse) => void,
   timeoutMs?: number
 ): Promise<AttemptResult> {
   const server = await listen(handler)
-  const result = await attempt(server.port, timeoutMs)
+  const result = await sendAttempt(server.port, timeoutMs)
   server.closeAllConnections()
   server.close()
   return result
 }
 
-test('a refused connection counts as not sent, so that the request may go elsewhere', async t => {
-  t.deepEqual(await attempt(await freePort()), { kind: 'failed', progress: 'not_sent', reason: 'connect_failed' })
+test('a refused connection counts as not sent, so that the request can be retried on another server', async t => {
+  t.deepEqual(await sendAttempt(await findFreePort()), { kind: 'failed', progress: 'not_sent', reason: 'connect_failed' })
 })
 
-test('a connection cut after the request was sent counts as maybe sent', async t => {
-  const result = await attemptWith(req => { req.socket.destroy() })
+test('a connection lost after the request was sent counts as maybe sent', async t => {
+  const result = await sendAttemptToServer(req => { req.socket.destroy() })
   t.deepEqual(result, { kind: 'failed', progress: 'maybe_sent', reason: 'connection_lost' })
 })
 
-test('an answer cut in the middle is a failure, so that no caller gets half an answer', async t => {
-  const result = await attemptWith((req, res) => {
+test('a truncated answer is a failure, so that no caller gets a partial answer', async t => {
+  const result = await sendAttemptToServer((req, res) => {
     res.writeHead(200, { 'content-length': 100 })
     res.write('half')
     setTimeout(() => { req.socket.destroy() }, 20)
@@ -57,19 +57,19 @@
   t.deepEqual(result, { kind: 'failed', progress: 'maybe_sent', reason: 'connection_lost' })
 })
 
-test('a backend server that states it did not run the work is a rejection, any other 503 is an answer', async t => {
-  const rejected = await attemptWith((_req, res) => { res.writeHead(503, { 'comfreygrade-not-run': 'true' }).end() })
+test('a 503 with the not-run header is a rejection, any other 503 is an answer', async t => {
+  const rejected = await sendAttemptToServer((_req, res) => { res.writeHead(503, { 'comfreygrade-not-run': 'true' }).end() })
   t.deepEqual(rejected, { kind: 'failed', progress: 'maybe_sent', reason: 'rejected' })
-  const answered = await attemptWith((_req, res) => { res.writeHead(503).end('busy') })
+  const answered = await sendAttemptToServer((_req, res) => { res.writeHead(503).end('busy') })
   t.like(answered, { kind: 'answered', answer: { status: 503 } })
 })
 
-test('a silent connection ends at the timeout of the attempt', async t => {
-  const result = await attemptWith(() => {}, 100)
+test('an attempt without an answer fails at its timeout', async t => {
+  const result = await sendAttemptToServer(() => {}, 100)
   t.deepEqual(result, { kind: 'failed', progress: 'maybe_sent', reason: 'attempt_timeout' })
 })
 
-test('an answer above the limit is a failure instead of memory without bound', async t => {
-  const result = await attemptWith((_req, res) => { res.end(Buffer.alloc(5000)) })
+test('an answer above the size limit is a failure, so that memory use is bounded', async t => {
+  const result = await sendAttemptToServer((_req, res) => { res.end(Buffer.alloc(5000)) })
   t.like(result, { kind: 'failed', progress: 'maybe_sent' })
 })
--- a/packages/node/test/configuration-replica.test.ts
+++ b/packages/node/test/configuration-replica.test.ts
@@ -6,17 +6,17 @@
 
 type Feed = Extract<PeerMessage, { kind: 'feed' }>
 
-function change (version: number): ConfigurationChange {
+function createChange (version: number): ConfigurationChange {
   const record = { organisationId: `o${version}`, quotaAccelerators: 1, weight: 1 }
   return { version, baseVersion: version - 1, upserts: [{ kind: 'organisation', record }], removes: [] }
 }
 
-function feed (baseVersion: number, versions: number[], fields: Partial<Feed> = {}): Feed {
+function createFeed (baseVersion: number, versions: number[], fields: Partial<Feed> = {}): Feed {
   return {
     kind: 'feed',
     term: 1,
     leaderNodeId: 'n1',
-    content: { kind: 'changes', baseVersion, changes: versions.map(change) },
+    content: { kind: 'changes', baseVersion, changes: versions.map(createChange) },
     drains: [],
     requestSentAtMs: 0,
     leaseMs: 5000,
@@ -24,48 +24,48 @@
   }
 }
 
-function fullFeed (version: number, fields: Partial<Feed> = {}): Feed {
+function createFullFeed (version: number, fields: Partial<Feed> = {}): Feed {
   const content = { kind: 'full' as const, version, document: toDocument(emptyConfiguration()) }
-  return feed(0, [], { content, ...fields })
+  return createFeed(0, [], { content, ...fields })
 }
 
-test('a late feed never takes a node back to an older version', t => {
+test('a delayed feed never reverts a node to an older version', t => {
   const replica = new ConfigurationReplica(new ManualClock(), new NullEventLog())
-  replica.receive(feed(0, [1, 2, 3]))
-  replica.receive(feed(0, [1]))
-  replica.receive(fullFeed(2))
+  replica.receive(createFeed(0, [1, 2, 3]))
+  replica.receive(createFeed(0, [1]))
+  replica.receive(createFullFeed(2))
   t.is(replica.configuration.version, 3)
 })
 
-test('a feed of an older term is ignored, so that a leader that was cut off does not renew leases', t => {
+test('a feed of an older term is ignored, so that a deposed leader does not renew leases', t => {
   const clock = new ManualClock(1000)
   const replica = new ConfigurationReplica(clock, new NullEventLog())
-  replica.receive(feed(0, [1], { term: 2, requestSentAtMs: null }))
-  replica.receive(feed(1, [], { term: 1, requestSentAtMs: 1000, leaderNodeId: 'n9' }))
+  replica.receive(createFeed(0, [1], { term: 2, requestSentAtMs: null }))
+  replica.receive(createFeed(1, [], { term: 1, requestSentAtMs: 1000, leaderNodeId: 'n9' }))
   t.false(replica.hasLease)
   t.is(replica.leaderNodeId, 'n1')
 })
 
-test('changes that do not follow the copy give no lease, so that a gap is never served', t => {
+test('changes that leave a version gap are not applied and renew no lease', t => {
   const replica = new ConfigurationReplica(new ManualClock(), new NullEventLog())
-  replica.receive(feed(4, [5]))
+  replica.receive(createFeed(4, [5]))
   t.is(replica.configuration.version, 0)
   t.false(replica.hasLease)
 })
 
-test('the lease counts from when the node asked, so that a delayed answer does not lengthen it', t => {
+test('a lease starts when the node sent its request, so that a delayed feed does not extend it', t => {
   const clock = new ManualClock(0)
   const replica = new ConfigurationReplica(clock, new NullEventLog())
   clock.advance(4000)
-  replica.receive(feed(0, [1], { requestSentAtMs: 0 }))
+  replica.receive(createFeed(0, [1], { requestSentAtMs: 0 }))
   t.true(replica.hasLease)
   clock.advance(1000)
   t.false(replica.hasLease)
 })
 
-test('a change counts as in force only when every node holds it or has lost its lease', t => {
+test('a version is in force everywhere only once every node holds it or its older leases have expired', t => {
   const leases = new NodeLeases(['n1', 'n2'], 5000)
-  leases.restart(0)
+  leases.startTerm(0)
   leases.renew('n1', 7, 6, 100)
   leases.renew('n2', 6, 6, 100)
   t.false(leases.status(7, 200).isInForceEverywhere)
@@ -74,19 +74,19 @@
   t.true(leases.status(7, 400).isInForceEverywhere)
 })
 
-test('a new leader waits for the leases of the former one', t => {
+test('a new leader waits until the leases of the former leader have expired', t => {
   const leases = new NodeLeases(['n1'], 5000)
   leases.renew('n1', 3, 3, 0)
-  leases.restart(1000)
+  leases.startTerm(1000)
   t.false(leases.status(3, 5900).isInForceEverywhere)
   t.true(leases.status(3, 6100).isInForceEverywhere)
 })
 
-test('a node that can send but not receive does not keep a change from being in force', t => {
+test('a node that can send but not receive does not prevent a version from being in force everywhere', t => {
   const leases = new NodeLeases(['n1'], 5000)
-  leases.restart(0)
+  leases.startTerm(0)
   leases.renew('n1', 6, 6, 100)
-  // The change to version 7 is accepted here; the node goes on to ask with what it holds.
+  // Version 7 is committed here; the node keeps requesting feeds with version 6.
   for (let nowMs = 600; nowMs <= 4600; nowMs += 500) leases.renew('n1', 6, 7, nowMs)
   t.false(leases.status(7, 5100).isInForceEverywhere)
   t.true(leases.status(7, 5200).isInForceEverywhere)
--- a/packages/node/test/control-client.test.ts
+++ b/packages/node/test/control-client.test.ts
@@ -6,12 +6,12 @@
 import { SystemClock } from '../src/system-clock.js'
 
 const operation: ControlOperation = { kind: 'get_job', jobId: 'j1' }
-const done: ControlResult = { ok: true, value: { kind: 'done' } }
+const DONE: ControlResult = { ok: true, value: { kind: 'done' } }
 
-type Fate = 'answer' | 'lose' | 'link_down' | 'not_leader'
+type Delivery = 'answer' | 'lose' | 'link_down' | 'not_leader'
 
-/** A client whose messages meet the given fates in turn; the last one repeats. */
-function createClient (fates: Fate[], options: Partial<ControlClientOptions> = {}) {
+/** Creates a client whose messages are delivered as listed; the last entry applies to all further messages. */
+function createClient (deliveries: Delivery[], options: Partial<ControlClientOptions> = {}) {
   const sent: string[] = []
   const client: ControlClient = new ControlClient({
     nodeId: 'n1',
@@ -21,13 +21,13 @@
     metrics: new CountingMetrics(),
     leaderNodeId: () => 'n2',
     send: (_nodeId, message) => {
-      const fate = fates.length > 1 ? fates.shift() : fates[0]
-      sent.push(fate ?? '')
-      if (fate === 'answer') answer(message, done)
-      if (fate === 'not_leader') answer(message, fail('not_leader', 'another node leads'))
-      return fate !== 'link_down'
+      const delivery = deliveries.length > 1 ? deliveries.shift() : deliveries[0]
+      sent.push(delivery ?? '')
+      if (delivery === 'answer') answer(message, DONE)
+      if (delivery === 'not_leader') answer(message, fail('not_leader', 'another node leads'))
+      return delivery !== 'link_down'
     },
-    askLocal: async () => done,
+    executeLocally: async () => DONE,
     ...options
   })
   const answer = (message: PeerMessage, result: ControlResult): void => {
@@ -37,37 +37,37 @@
   return { client, sent }
 }
 
-function kindOf (result: ControlResult): string {
+function resultKind (result: ControlResult): string {
   return result.ok ? 'ok' : result.failure.kind
 }
 
-test('an answer that is lost is asked for again, so that a silent link does not cost the whole deadline', async t => {
+test('an operation is retried after the attempt timeout, so that a lost response does not use up the timeout', async t => {
   const { client, sent } = createClient(['lose', 'answer'])
-  t.is(kindOf(await client.ask(operation)), 'ok')
+  t.is(resultKind(await client.execute(operation)), 'ok')
   t.deepEqual(sent, ['lose', 'answer'])
 })
 
-test('an operation that may have been taken once is never answered as not run', async t => {
+test('an operation with one attempt of unknown outcome is reported as unknown, never as not run', async t => {
   const { client } = createClient(['lose', 'link_down'])
-  t.is(kindOf(await client.ask(operation)), 'outcome_unknown')
+  t.is(resultKind(await client.execute(operation)), 'outcome_unknown')
 })
 
-test('an operation that certainly reached nobody is answered as not run', async t => {
-  t.is(kindOf(await createClient(['link_down']).client.ask(operation)), 'control_unavailable')
-  t.is(kindOf(await createClient(['not_leader']).client.ask(operation)), 'control_unavailable')
-  t.is(kindOf(await createClient(['answer'], { leaderNodeId: () => null }).client.ask(operation)), 'control_unavailable')
+test('an operation that definitely reached no leader is reported as not run', async t => {
+  t.is(resultKind(await createClient(['link_down']).client.execute(operation)), 'control_unavailable')
+  t.is(resultKind(await createClient(['not_leader']).client.execute(operation)), 'control_unavailable')
+  t.is(resultKind(await createClient(['answer'], { leaderNodeId: () => null }).client.execute(operation)), 'control_unavailable')
 })
 
-test('a node that does not lead any more sends the client to the next leader', async t => {
+test('an operation is retried while the node asked is no longer the leader', async t => {
   const { client, sent } = createClient(['not_leader', 'not_leader', 'answer'])
-  t.is(kindOf(await client.ask(operation)), 'ok')
+  t.is(resultKind(await client.execute(operation)), 'ok')
   t.is(sent.length, 3)
 })
 
-test('a lost link ends the attempt at once, so that the next one does not wait for its time limit', async t => {
+test('a lost link ends the attempt at once, so that the retry does not wait for the attempt timeout', async t => {
   const { client, sent } = createClient(['lose', 'answer'], { attemptTimeoutMs: 100_000 })
-  const asked = client.ask(operation, 100_000)
-  setImmediate(() => { client.disconnected('n2') })
-  t.is(kindOf(await asked), 'ok')
+  const asked = client.execute(operation, 100_000)
+  setImmediate(() => { client.onDisconnect('n2') })
+  t.is(resultKind(await asked), 'ok')
   t.is(sent.length, 2)
 })
