--- a/packages/node/test/file-log.test.ts
+++ b/packages/node/test/file-log.test.ts
@@ -9,22 +9,22 @@
 import { Random } from '@comfreygrade/core'
 import { readOrCreateDiskId } from '../src/disk-id.js'
 import { FileLog, isFolderInitialised } from '../src/file-log.js'
-import { FileLogError, LogFile, LogFiles, NodeLogFiles } from '../src/log-files.js'
+import { FileLogError, LogFile, LogFileSystem, OsLogFileSystem } from '../src/log-files.js'
 
 type PersistEffect = Extract<ReplicaEffect<string>, { kind: 'persist' }>
 
 const voters: VoterId[] = [{ nodeId: 'a', diskId: 'd0' }]
 const folder = '/data'
 
-function entry (index: number, term = 1): LogEntry<string> {
+function createEntry (index: number, term = 1): LogEntry<string> {
   return { index, term, logTimeMs: 1_700_000_000_000 + index, body: { kind: 'command', proposalId: `p${index}`, command: 'x' } }
 }
 
-function batch (...entries: Array<LogEntry<string>>): PersistEffect {
+function createBatch (...entries: Array<LogEntry<string>>): PersistEffect {
   return { kind: 'persist', persistId: 1, entries }
 }
 
-function snapshotAt (lastIndex: number, lastTerm = 1): Snapshot {
+function createSnapshot (lastIndex: number, lastTerm = 1): Snapshot {
   return { lastIndex, lastTerm, logTimeMs: lastIndex, voters, outgoingVoters: [], content: new Uint8Array([1, 2, 3]) }
 }
 
@@ -33,106 +33,106 @@
   synced: Uint8Array
 }
 
-/** What a crash loses: nothing of what was written, what is not synced, or renames that are not synced. */
-type Loss = 'none' | 'unsynced' | 'renames'
+/** Data that a crash loses: none, all unsynced data, or unsynced renames but not the names of new files. */
+type DataLoss = 'none' | 'unsynced' | 'renames'
 
-/** Files in memory that remember what is synced, and fail at a chosen step. */
-class FakeFiles extends LogFiles {
-  readonly names = new Map<string, StoredFile>()
-  durableNames = new Map<string, StoredFile>()
-  readonly #created = new Map<string, StoredFile>()
+/** In-memory file system that tracks which data is synced and fails at a chosen step. */
+class FakeFileSystem extends LogFileSystem {
+  readonly files = new Map<string, StoredFile>()
+  durableFiles = new Map<string, StoredFile>()
+  readonly #createdFiles = new Map<string, StoredFile>()
   steps: string[] = []
   failAtStep = Infinity
   failure: Error = new Error('the process ended')
 
-  step (name: string): void {
+  recordStep (name: string): void {
     if (this.steps.length >= this.failAtStep) throw this.failure
     this.steps.push(name)
   }
 
-  /** The next step of this kind fails; the ones after it would succeed. */
+  /** Makes the next step of this kind fail; later steps succeed. */
   failNext (name: string, code: string): void {
-    const original = this.step.bind(this)
-    this.step = next => {
+    const original = this.recordStep.bind(this)
+    this.recordStep = next => {
       if (next !== name) return original(next)
-      this.step = original
+      this.recordStep = original
       throw Object.assign(new Error(code), { code })
     }
   }
 
   /**
-   * What a new process finds. A power failure loses what is not synced, but names of new files may survive it while
-   * renames do not.
+   * File system as a new process finds it. A power failure loses unsynced data; with `renames` the unsynced names of
+   * new files survive while unsynced renames are lost.
    */
-  restarted (loss: Loss): FakeFiles {
-    const next = new FakeFiles()
-    const names = { none: this.names, unsynced: this.durableNames, renames: this.#namesWithoutRenames() }[loss]
-    for (const [path, file] of names) {
+  afterRestart (loss: DataLoss): FakeFileSystem {
+    const next = new FakeFileSystem()
+    const survivingFiles = { none: this.files, unsynced: this.durableFiles, renames: this.#filesWithoutRenames() }[loss]
+    for (const [path, file] of survivingFiles) {
       const content = loss === 'none' ? file.written : file.synced
-      next.names.set(path, { written: content, synced: content })
+      next.files.set(path, { written: content, synced: content })
     }
-    next.durableNames = new Map(next.names)
+    next.durableFiles = new Map(next.files)
     return next
   }
 
-  #namesWithoutRenames (): Map<string, StoredFile> {
-    return new Map([...this.durableNames, ...this.#created])
+  #filesWithoutRenames (): Map<string, StoredFile> {
+    return new Map([...this.durableFiles, ...this.#createdFiles])
   }
 
-  content (pattern: RegExp): StoredFile {
-    const found = [...this.names].filter(([path]) => pattern.test(path)).sort().at(-1)
+  findFile (pattern: RegExp): StoredFile {
+    const found = [...this.files].filter(([path]) => pattern.test(path)).sort().at(-1)
     if (found === undefined) throw new Error(`no file matches ${String(pattern)}`)
     return found[1]
   }
 
-  override async makeFolder (): Promise<void> {}
+  override async createFolder (): Promise<void> {}
 
   override async list (path: string): Promise<string[]> {
-    return [...this.names.keys()].filter(name => dirname(name) === path).map(name => basename(name))
+    return [...this.files.keys()].filter(name => dirname(name) === path).map(name => basename(name))
   }
 
   override async read (path: string): Promise<Uint8Array> {
-    return this.names.get(path)?.written ?? new Uint8Array()
+    return this.files.get(path)?.written ?? new Uint8Array()
   }
 
   override async open (path: string): Promise<LogFile> {
-    if (!this.names.has(path)) this.step('create')
-    const file = this.names.get(path) ?? { written: new Uint8Array(), synced: new Uint8Array() }
-    if (!this.names.has(path)) this.#created.set(path, file)
-    this.names.set(path, file)
-    return new FakeFile(this, file)
+    if (!this.files.has(path)) this.recordStep('create')
+    const file = this.files.get(path) ?? { written: new Uint8Array(), synced: new Uint8Array() }
+    if (!this.files.has(path)) this.#createdFiles.set(path, file)
+    this.files.set(path, file)
+    return new FakeLogFile(this, file)
   }
 
   override async rename (from: string, to: string): Promise<void> {
-    this.step('rename')
-    this.names.set(to, this.names.get(from) as StoredFile)
-    this.names.delete(from)
+    this.recordStep('rename')
+    this.files.set(to, this.files.get(from) as StoredFile)
+    this.files.delete(from)
   }
 
   override async remove (path: string): Promise<void> {
-    this.step('remove')
-    this.names.delete(path)
+    this.recordStep('remove')
+    this.files.delete(path)
   }
 
   override async syncFolder (): Promise<void> {
-    this.step('sync folder')
-    this.durableNames = new Map(this.names)
-    this.#created.clear()
+    this.recordStep('sync folder')
+    this.durableFiles = new Map(this.files)
+    this.#createdFiles.clear()
   }
 }
 
-class FakeFile extends LogFile {
-  readonly #files: FakeFiles
+class FakeLogFile extends LogFile {
+  readonly #fileSystem: FakeFileSystem
   readonly #file: StoredFile
 
-  constructor (files: FakeFiles, file: StoredFile) {
+  constructor (fileSystem: FakeFileSystem, file: StoredFile) {
     super()
-    this.#files = files
+    this.#fileSystem = fileSystem
     this.#file = file
   }
 
   override async write (bytes: Uint8Array, offset: number): Promise<void> {
-    this.#files.step('write')
+    this.#fileSystem.recordStep('write')
     const grown = new Uint8Array(Math.max(this.#file.written.byteLength, offset + bytes.byteLength))
     grown.set(this.#file.written)
     grown.set(bytes, offset)
@@ -140,52 +140,54 @@
   }
 
   override async truncate (lengthBytes: number): Promise<void> {
-    this.#files.step('truncate')
+    this.#fileSystem.recordStep('truncate')
     this.#file.written = this.#file.written.slice(0, lengthBytes)
   }
 
   override async sync (): Promise<void> {
-    this.#files.step('sync')
+    this.#fileSystem.recordStep('sync')
     this.#file.synced = this.#file.written
   }
 
   override async close (): Promise<void> {}
 }
 
-async function opened (files: LogFiles, segmentMaxBytes?: number): Promise<FileLog<string>> {
-  const log = new FileLog<string>(folder, segmentMaxBytes === undefined ? { files } : { files, segmentMaxBytes })
+async function openLog (fileSystem: LogFileSystem, segmentMaxBytes?: number): Promise<FileLog<string>> {
+  const log = new FileLog<string>(
+    folder, segmentMaxBytes === undefined ? { fileSystem } : { fileSystem, segmentMaxBytes }
+  )
   await log.recover()
   return log
 }
 
-async function recoveredIndexes (files: LogFiles): Promise<number[]> {
-  const { entries } = await new FileLog<string>(folder, { files }).recover()
+async function recoverIndexes (fileSystem: LogFileSystem): Promise<number[]> {
+  const { entries } = await new FileLog<string>(folder, { fileSystem }).recover()
   return entries.map(({ index }) => index)
 }
 
-/** Three synced records. */
-async function threeRecords (): Promise<FakeFiles> {
-  const files = new FakeFiles()
-  const log = await opened(files)
-  for (const index of [1, 2, 3]) await log.persist(batch(entry(index)))
-  return files
+/** File system with a log of three synced records. */
+async function writeThreeRecords (): Promise<FakeFileSystem> {
+  const fileSystem = new FakeFileSystem()
+  const log = await openLog(fileSystem)
+  for (const index of [1, 2, 3]) await log.persist(createBatch(createEntry(index)))
+  return fileSystem
 }
 
-test('everything that was acknowledged is read back from a real folder after a restart', async t => {
+test('all acknowledged writes are recovered from a real folder after a restart', async t => {
   const path = await mkdtemp(join(tmpdir(), 'file-log-'))
   try {
     const log = new FileLog<string>(path, { segmentMaxBytes: 200 })
     t.deepEqual(await log.recover(), Replica.emptyLog())
-    await log.persist({ ...batch(entry(1)), hardState: { term: 3, votedFor: voters[0] ?? null } })
-    await Promise.all([2, 3, 4, 5, 6].map(async index => await log.persist(batch(entry(index)))))
-    await log.persist(batch(entry(5, 2)))
-    await log.saveSnapshot(snapshotAt(2))
+    await log.persist({ ...createBatch(createEntry(1)), hardState: { term: 3, votedFor: voters[0] ?? null } })
+    await Promise.all([2, 3, 4, 5, 6].map(async index => await log.persist(createBatch(createEntry(index)))))
+    await log.persist(createBatch(createEntry(5, 2)))
+    await log.saveSnapshot(createSnapshot(2))
     await log.close()
     const again = new FileLog<string>(path)
     const recovered = await again.recover()
     await again.close()
     t.deepEqual(recovered.hardState, { term: 3, votedFor: voters[0] ?? null })
-    t.deepEqual(recovered.entries, [entry(3), entry(4), entry(5, 2)])
+    t.deepEqual(recovered.entries, [createEntry(3), createEntry(4), createEntry(5, 2)])
     t.like(recovered.snapshot, { lastIndex: 2, lastTerm: 1, voters })
     t.deepEqual([...recovered.snapshot?.content ?? []], [1, 2, 3])
   } finally {
@@ -193,51 +195,51 @@
   }
 })
 
-test('a last record cut at any byte is dropped and its place is used again, so a crash while writing is harmless', async t => {
-  const files = new FakeFiles()
-  const log = await opened(files)
-  for (const index of [1, 2]) await log.persist(batch(entry(index)))
-  const keptBytes = files.content(/segment/).written.byteLength
-  await log.persist(batch(entry(3)))
-  const { written } = files.content(/segment/)
+test('a torn last record is truncated wherever it was cut, so a crash during a write loses nothing acknowledged', async t => {
+  const fileSystem = new FakeFileSystem()
+  const log = await openLog(fileSystem)
+  for (const index of [1, 2]) await log.persist(createBatch(createEntry(index)))
+  const keptBytes = fileSystem.findFile(/segment/).written.byteLength
+  await log.persist(createBatch(createEntry(3)))
+  const { written } = fileSystem.findFile(/segment/)
   for (let length = keptBytes; length < written.byteLength; length++) {
-    const torn = files.restarted('none')
-    torn.content(/segment/).written = written.slice(0, length)
-    const reopened = await opened(torn)
-    t.is(torn.content(/segment/).written.byteLength, keptBytes)
-    await reopened.persist(batch(entry(3, 2)))
-    t.deepEqual(await recoveredIndexes(torn), [1, 2, 3], `cut at byte ${length}`)
+    const torn = fileSystem.afterRestart('none')
+    torn.findFile(/segment/).written = written.slice(0, length)
+    const reopened = await openLog(torn)
+    t.is(torn.findFile(/segment/).written.byteLength, keptBytes)
+    await reopened.persist(createBatch(createEntry(3, 2)))
+    t.deepEqual(await recoverIndexes(torn), [1, 2, 3], `cut at byte ${length}`)
   }
 })
 
-test('a wrong byte anywhere in the last record drops that record only', async t => {
-  const files = await threeRecords()
-  const { written } = files.content(/segment/)
+test('a corrupt byte in the last record drops only that record', async t => {
+  const fileSystem = await writeThreeRecords()
+  const { written } = fileSystem.findFile(/segment/)
   const recordBytes = written.byteLength / 3
   for (let offset = written.byteLength - Math.floor(recordBytes / 2); offset < written.byteLength; offset++) {
-    const damaged = files.restarted('none')
-    damaged.content(/segment/).written = written.map((byte, position) => position === offset ? byte ^ 0xff : byte)
-    t.deepEqual(await recoveredIndexes(damaged), [1, 2], `byte ${offset}`)
+    const damaged = fileSystem.afterRestart('none')
+    damaged.findFile(/segment/).written = written.map((byte, position) => position === offset ? byte ^ 0xff : byte)
+    t.deepEqual(await recoverIndexes(damaged), [1, 2], `byte ${offset}`)
   }
 })
 
-test('a wrong byte anywhere before the last record stops the node, so no acknowledged entry is dropped silently', async t => {
-  const files = await threeRecords()
-  const { written } = files.content(/segment/)
+test('a corrupt byte before the last record fails recovery, so no acknowledged entry is lost silently', async t => {
+  const fileSystem = await writeThreeRecords()
+  const { written } = fileSystem.findFile(/segment/)
   for (let offset = 0; offset < written.byteLength * 0.6; offset++) {
-    const damaged = files.restarted('none')
-    damaged.content(/segment/).written = written.map((byte, position) => position === offset ? byte ^ 0xff : byte)
-    const error = await t.throwsAsync(recoveredIndexes(damaged), { instanceOf: FileLogError })
+    const damaged = fileSystem.afterRestart('none')
+    damaged.findFile(/segment/).written = written.map((byte, position) => position === offset ? byte ^ 0xff : byte)
+    const error = await t.throwsAsync(recoverIndexes(damaged), { instanceOf: FileLogError })
     t.like(error, { kind: 'damaged_record' }, `byte ${offset}`)
   }
 })
 
-test('a segment that is missing in the middle stops the node', async t => {
-  const files = new FakeFiles()
-  const log = await opened(files, 1)
-  for (const index of [1, 2, 3]) await log.persist(batch(entry(index)))
-  files.names.delete([...files.names.keys()][1] ?? '')
-  await t.throwsAsync(recoveredIndexes(files), { instanceOf: FileLogError, message: /missing_entries/ })
+test('a missing segment in the middle of the log fails recovery', async t => {
+  const fileSystem = new FakeFileSystem()
+  const log = await openLog(fileSystem, 1)
+  for (const index of [1, 2, 3]) await log.persist(createBatch(createEntry(index)))
+  fileSystem.files.delete([...fileSystem.files.keys()][1] ?? '')
+  await t.throwsAsync(recoverIndexes(fileSystem), { instanceOf: FileLogError, message: /missing_entries/ })
 })
 
 const faults = [
@@ -246,90 +248,99 @@
 ] as const
 
 for (const { step, code, kind } of faults) {
-  test(`after ${kind} nothing is acknowledged any more, and what was acknowledged stays`, async t => {
-    const files = await threeRecords()
-    const log = await opened(files)
-    files.failNext(step, code)
-    const first = t.throwsAsync(log.persist(batch(entry(4))), { instanceOf: FileLogError })
-    const joined = t.throwsAsync(log.persist(batch(entry(5))), { instanceOf: FileLogError })
+  test(`after ${kind} no write is acknowledged, and earlier acknowledged writes are kept`, async t => {
+    const fileSystem = await writeThreeRecords()
+    const log = await openLog(fileSystem)
+    fileSystem.failNext(step, code)
+    const first = t.throwsAsync(log.persist(createBatch(createEntry(4))), { instanceOf: FileLogError })
+    const joined = t.throwsAsync(log.persist(createBatch(createEntry(5))), { instanceOf: FileLogError })
     t.like(await first, { kind, path: '/data/segment-0000000000000001.log' })
     t.like(await joined, { kind })
-    t.like(await t.throwsAsync(log.persist(batch(entry(6)))), { kind })
-    t.like(await t.throwsAsync(log.saveSnapshot(snapshotAt(2))), { kind })
-    t.deepEqual(await recoveredIndexes(files.restarted('unsynced')), [1, 2, 3])
+    t.like(await t.throwsAsync(log.persist(createBatch(createEntry(6)))), { kind })
+    t.like(await t.throwsAsync(log.saveSnapshot(createSnapshot(2))), { kind })
+    t.deepEqual(await recoverIndexes(fileSystem.afterRestart('unsynced')), [1, 2, 3])
   })
 }
 
-test('writes that arrive during a sync share the next one, so a slow disk does not queue one sync per entry', async t => {
-  const files = await threeRecords()
-  const log = await opened(files)
-  files.steps = []
-  await Promise.all([4, 5, 6, 7, 8].map(async index => await log.persist(batch(entry(index)))))
-  t.deepEqual(files.steps, ['write', 'sync', 'write', 'sync'])
+test('writes that arrive during a sync share the next sync, so a slow disk does not need one sync per entry', async t => {
+  const fileSystem = await writeThreeRecords()
+  const log = await openLog(fileSystem)
+  fileSystem.steps = []
+  await Promise.all([4, 5, 6, 7, 8].map(async index => await log.persist(createBatch(createEntry(index)))))
+  t.deepEqual(fileSystem.steps, ['write', 'sync', 'write', 'sync'])
 })
 
-/** Ends the process before each step of an operation in turn and recovers, with and without loss of unsynced data. */
+/**
+ * Runs an operation repeatedly, crashing before its first step, its second step and so on, and checks the recovery
+ * after each kind of data loss. Returns the number of steps of the whole operation.
+ */
 async function crashAtEveryStep (
-  operation: (log: FileLog<string>) => Promise<void>, check: (files: FakeFiles, detail: string) => Promise<void>
+  operation: (log: FileLog<string>) => Promise<void>,
+  check: (fileSystem: FakeFileSystem, detail: string) => Promise<void>
 ): Promise<number> {
   for (let step = 0; ; step++) {
-    const files = await threeRecords()
-    const log = await opened(files)
-    files.steps = []
-    files.failAtStep = step
+    const fileSystem = await writeThreeRecords()
+    const log = await openLog(fileSystem)
+    fileSystem.steps = []
+    fileSystem.failAtStep = step
     const isDone = await operation(log).then(() => true, () => false)
     for (const loss of ['none', 'unsynced', 'renames'] as const) {
-      await check(files.restarted(loss), `${step} steps, lost: ${loss}`)
+      await check(fileSystem.afterRestart(loss), `${step} steps, lost: ${loss}`)
     }
     if (isDone) return step
   }
 }
 
-test('a crash at any step of saving a snapshot loses no entry, and the log works on', async t => {
-  const steps = await crashAtEveryStep(async log => await log.saveSnapshot(snapshotAt(2)), async (files, detail) => {
-    const log = new FileLog<string>(folder, { files })
-    const { snapshot, entries } = await log.recover()
-    const first = (snapshot?.lastIndex ?? 0) + 1
-    t.deepEqual(entries.map(({ index }) => index), [1, 2, 3].filter(index => index >= first), detail)
-    await log.persist(batch(entry(4)))
-    t.is((await recoveredIndexes(files)).at(-1), 4, detail)
-  })
+test('a crash at any step of saving a snapshot loses no entry, and the recovered log accepts writes', async t => {
+  const steps = await crashAtEveryStep(
+    async log => await log.saveSnapshot(createSnapshot(2)),
+    async (fileSystem, detail) => {
+      const log = new FileLog<string>(folder, { fileSystem })
+      const { snapshot, entries } = await log.recover()
+      const first = (snapshot?.lastIndex ?? 0) + 1
+      t.deepEqual(entries.map(({ index }) => index), [1, 2, 3].filter(index => index >= first), detail)
+      await log.persist(createBatch(createEntry(4)))
+      t.is((await recoverIndexes(fileSystem)).at(-1), 4, detail)
+    }
+  )
   t.true(steps > 6)
 })
 
-test('a crash at any step of installing a snapshot leaves either the old log or the snapshot, never a mixture', async t => {
-  const install: PersistEffect = { ...batch(), snapshot: snapshotAt(2, 7) }
-  const steps = await crashAtEveryStep(async log => await log.persist(install), async (files, detail) => {
-    const log = new FileLog<string>(folder, { files })
+test('a crash at any step of installing a snapshot leaves either the old log or the snapshot, never a mix', async t => {
+  const install: PersistEffect = { ...createBatch(), snapshot: createSnapshot(2, 7) }
+  const steps = await crashAtEveryStep(async log => await log.persist(install), async (fileSystem, detail) => {
+    const log = new FileLog<string>(folder, { fileSystem })
     const { snapshot, entries } = await log.recover()
     t.deepEqual(entries.map(({ index }) => index), snapshot === null ? [1, 2, 3] : [], detail)
     const next = snapshot === null ? 4 : 3
-    await log.persist(batch(entry(next, 7)))
-    t.is((await recoveredIndexes(files)).at(-1), next, detail)
+    await log.persist(createBatch(createEntry(next, 7)))
+    t.is((await recoverIndexes(fileSystem)).at(-1), next, detail)
   })
   t.true(steps > 6)
 })
 
-test('a damaged snapshot stops the node instead of starting from an older state', async t => {
-  const files = await threeRecords()
-  const log = await opened(files)
-  await log.saveSnapshot(snapshotAt(2))
-  const file = files.content(/snapshot/)
+test('a damaged snapshot fails recovery, so the node does not start from an older state', async t => {
+  const fileSystem = await writeThreeRecords()
+  const log = await openLog(fileSystem)
+  await log.saveSnapshot(createSnapshot(2))
+  const file = fileSystem.findFile(/snapshot/)
   file.written = file.written.map((byte, position) => position === 20 ? byte ^ 1 : byte)
-  await t.throwsAsync(recoveredIndexes(files), { instanceOf: FileLogError, message: /damaged_snapshot/ })
+  await t.throwsAsync(recoverIndexes(fileSystem), { instanceOf: FileLogError, message: /damaged_snapshot/ })
 })
 
-test('a snapshot older than an installed one is ignored, so the log does not go back', async t => {
-  const files = await threeRecords()
-  const log = await opened(files)
-  await log.persist({ ...batch(), snapshot: snapshotAt(9, 2) })
-  await log.saveSnapshot(snapshotAt(2))
-  const { snapshot } = await new FileLog<string>(folder, { files }).recover()
+test('a saved snapshot older than the installed one is ignored, so the state does not go back', async t => {
+  const fileSystem = await writeThreeRecords()
+  const log = await openLog(fileSystem)
+  await log.persist({ ...createBatch(), snapshot: createSnapshot(9, 2) })
+  await log.saveSnapshot(createSnapshot(2))
+  const { snapshot } = await new FileLog<string>(folder, { fileSystem }).recover()
   t.is(snapshot?.lastIndex, 9)
 })
 
-/** Carries out what a single voter asks for until nothing is left; returns the applied commands. */
-async function runAlone (replica: Replica<string>, log: FileLog<string>, first: ReplicaEvent<string>, nowMs: number) {
+/** Executes the effects of a single-voter replica until there are none left; returns the applied commands. */
+async function runSingleVoter (
+  replica: Replica<string>, log: FileLog<string>, first: ReplicaEvent<string>, nowMs: number
+) {
   const applied: string[] = []
   const events = [first]
   for (let event = events.shift(); event !== undefined; event = events.shift()) {
@@ -345,29 +356,29 @@
   return applied
 }
 
-function replicaOn (recovered: RecoveredLog<string>): Replica<string> {
+function createReplica (recovered: RecoveredLog<string>): Replica<string> {
   return new Replica({ id: voters[0] as VoterId, settings: defaultReplicaSettings, recovered, random: new Random(1) })
 }
 
-test('a replica on this log has all of 500 entries after a power failure, so accepted changes never revert', async t => {
-  const files = new FakeFiles()
-  const log = await opened(files, 5_000)
+test('a replica recovers all 500 committed entries after a power failure', async t => {
+  const fileSystem = new FakeFileSystem()
+  const log = await openLog(fileSystem, 5_000)
   const initial = Replica.initialLog<string>(voters)
-  await log.persist({ ...batch(...initial.entries), hardState: initial.hardState })
-  const replica = replicaOn(initial)
-  await runAlone(replica, log, { kind: 'tick' }, 0)
-  await runAlone(replica, log, { kind: 'tick' }, 2_000)
+  await log.persist({ ...createBatch(...initial.entries), hardState: initial.hardState })
+  const replica = createReplica(initial)
+  await runSingleVoter(replica, log, { kind: 'tick' }, 0)
+  await runSingleVoter(replica, log, { kind: 'tick' }, 2_000)
   const commands = Array.from({ length: 500 }, (_, number) => `command ${number}`)
   for (const command of commands) {
-    t.deepEqual(await runAlone(replica, log, { kind: 'propose', proposalId: command, command }, 2_001), [command])
+    t.deepEqual(await runSingleVoter(replica, log, { kind: 'propose', proposalId: command, command }, 2_001), [command])
   }
-  const nextLog = new FileLog<string>(folder, { files: files.restarted('unsynced') })
-  const restarted = replicaOn(await nextLog.recover())
-  await runAlone(restarted, nextLog, { kind: 'tick' }, 0)
-  t.deepEqual(await runAlone(restarted, nextLog, { kind: 'tick' }, 2_000), commands)
+  const nextLog = new FileLog<string>(folder, { fileSystem: fileSystem.afterRestart('unsynced') })
+  const restarted = createReplica(await nextLog.recover())
+  await runSingleVoter(restarted, nextLog, { kind: 'tick' }, 0)
+  t.deepEqual(await runSingleVoter(restarted, nextLog, { kind: 'tick' }, 2_000), commands)
 })
 
-test('the disk ID stays the same, a new folder has another, and a crash while creating it leaves none', async t => {
+test('a disk ID is stable, unique per folder, and not left incomplete by a crash during its creation', async t => {
   const path = await mkdtemp(join(tmpdir(), 'disk-id-'))
   try {
     const diskId = await readOrCreateDiskId(join(path, 'one'))
@@ -376,20 +387,20 @@
   } finally {
     await rm(path, { recursive: true })
   }
-  const files = new FakeFiles()
-  files.failNext('rename', 'EIO')
-  await t.throwsAsync(readOrCreateDiskId(folder, files), { instanceOf: FileLogError })
-  t.is((await readOrCreateDiskId(folder, files.restarted('none'))).length, 36)
+  const fileSystem = new FakeFileSystem()
+  fileSystem.failNext('rename', 'EIO')
+  await t.throwsAsync(readOrCreateDiskId(folder, fileSystem), { instanceOf: FileLogError })
+  t.is((await readOrCreateDiskId(folder, fileSystem.afterRestart('none'))).length, 36)
 })
 
-test('a folder counts as initialised only with a log, so an interrupted first start can be repeated', async t => {
-  const files = new FakeFiles()
-  t.false(await isFolderInitialised(folder, files))
-  await readOrCreateDiskId(folder, files)
-  const log = await opened(files)
-  t.false(await isFolderInitialised(folder, files))
+test('a folder is initialised only once it has log entries, so an interrupted bootstrap can be repeated', async t => {
+  const fileSystem = new FakeFileSystem()
+  t.false(await isFolderInitialised(folder, fileSystem))
+  await readOrCreateDiskId(folder, fileSystem)
+  const log = await openLog(fileSystem)
+  t.false(await isFolderInitialised(folder, fileSystem))
   const { hardState, entries } = Replica.initialLog<string>(voters)
-  await log.persist({ ...batch(...entries), hardState })
-  t.true(await isFolderInitialised(folder, files))
-  t.false(await isFolderInitialised(join(tmpdir(), 'no-such-folder'), new NodeLogFiles()))
+  await log.persist({ ...createBatch(...entries), hardState })
+  t.true(await isFolderInitialised(folder, fileSystem))
+  t.false(await isFolderInitialised(join(tmpdir(), 'no-such-folder'), new OsLogFileSystem()))
 })
--- a/packages/node/test/http-errors.test.ts
+++ b/packages/node/test/http-errors.test.ts
@@ -1,14 +1,14 @@
 import { createConnection } from 'node:net'
 import test from 'ava'
 import { request } from 'undici'
-import { EntryApplication, startApi } from './http-fixture.js'
+import { EntryApplication, startHttpApi } from './http-fixture.js'
 
 const application = new EntryApplication()
 let url = ''
 let stop: () => Promise<void> = async () => {}
 
 test.before(async () => {
-  const started = await startApi(application)
+  const started = await startHttpApi(application)
   url = started.url
   stop = async () => { await started.api.stop() }
 })
@@ -26,7 +26,7 @@
   return { status: response.statusCode, error, outcome, detail }
 }
 
-const job = {
+const JOB_BODY = {
   organisationId: 'o1', tasks: 2, acceleratorModel: 'gpu', acceleratorsPerTask: 1, declaredRunMs: 1000
 }
 
@@ -35,8 +35,8 @@
   t.like(refusal, { status: 400, error: 'invalid_request', outcome: 'not_run' })
 })
 
-test('an unknown field is refused, so that a misspelt option is never ignored', async t => {
-  const refusal = await send('POST', '/v1/jobs', JSON.stringify({ ...job, memoryMb: 5 }))
+test('an unknown field in a body is refused, so that a misspelt option is not ignored', async t => {
+  const refusal = await send('POST', '/v1/jobs', JSON.stringify({ ...JOB_BODY, memoryMb: 5 }))
   t.like(refusal, { status: 400, error: 'unknown_field' })
   t.regex(refusal.detail, /memoryMb/)
 })
@@ -44,21 +44,21 @@
 for (const [title, fields] of Object.entries({
   negative: { tasks: -1 }, absurd: { tasks: 1e9 }, fractional: { declaredRunMs: 1.5 }, textual: { declaredRunMs: '1h' }
 })) {
-  test(`a ${title} number is refused and control is not asked`, async t => {
-    const askedBefore = application.asked.filter(operation => operation.kind === 'submit_job').length
-    const refusal = await send('POST', '/v1/jobs', JSON.stringify({ ...job, ...fields }))
+  test(`a ${title} number is refused before it reaches the control leader`, async t => {
+    const askedBefore = application.operations.filter(operation => operation.kind === 'submit_job').length
+    const refusal = await send('POST', '/v1/jobs', JSON.stringify({ ...JOB_BODY, ...fields }))
     t.like(refusal, { status: 400, error: 'invalid_request', outcome: 'not_run' })
-    t.is(application.asked.filter(operation => operation.kind === 'submit_job').length, askedBefore)
+    t.is(application.operations.filter(operation => operation.kind === 'submit_job').length, askedBefore)
   })
 }
 
-test('an oversized short request is refused before it is routed', async t => {
+test('a short request with an oversized body is refused before it is routed', async t => {
   const headers = { 'comfreygrade-organisation': 'o1' }
   const overRule = await send('POST', '/v1/services/billing/requests', Buffer.alloc(1024 * 1024 + 1), headers)
   t.like(overRule, { status: 413, error: 'body_too_large', outcome: 'not_run' })
 })
 
-test('a missing organisation and wrong headers are named in the answer', async t => {
+test('a missing organisation and invalid headers are named in the error detail', async t => {
   const missing = await send('POST', '/v1/services/billing/requests', 'x')
   t.like(missing, { status: 400, error: 'invalid_request' })
   t.regex(missing.detail, /comfreygrade-organisation/)
@@ -70,14 +70,14 @@
   t.is(wrongKey.error, 'key_invalid')
 })
 
-test('too many and too large headers are refused instead of being cut off', async t => {
+test('too many or too large headers are refused instead of being truncated', async t => {
   const many = Object.fromEntries(Array.from({ length: 150 }, (_, index) => [`x-${index}`, '1']))
   t.like(await send('GET', '/v1/jobs', undefined, many), { status: 431, error: 'headers_too_large' })
   t.like(await send('GET', '/v1/jobs', undefined, { 'x-large': 'a'.repeat(10_000) }),
     { status: 431, error: 'headers_too_large' })
 })
 
-test('a sender that never finishes is answered and disconnected, so that it cannot hold a connection', async t => {
+test('a sender that never completes its request is disconnected with 408, so that it cannot hold a connection', async t => {
   const socket = createConnection({ host: '127.0.0.1', port: Number(new URL(url).port) })
   socket.write('POST /v1/jobs HTTP/1.1\r\nhost: x\r\ncontent-length: 100\r\n\r\n{')
   const text = await new Promise<string>(resolve => {
@@ -92,7 +92,7 @@
 test('a node without a configuration lease refuses new requests as not run', async t => {
   const stale = new EntryApplication()
   stale.isConfigurationStale = true
-  const { api, url: staleUrl } = await startApi(stale)
+  const { api, url: staleUrl } = await startHttpApi(stale)
   const response = await request(`${staleUrl}/v1/services/billing/requests`, { method: 'POST', body: 'x' })
   t.is(response.statusCode, 503)
   t.is(response.headers['retry-after'], '1')
@@ -101,6 +101,6 @@
   await stale.backendClient.close()
 })
 
-test('an unknown endpoint answers with the same error body as every other refusal', async t => {
+test('an unknown endpoint is answered with the same error body as other refusals', async t => {
   t.like(await send('GET', '/v1/nothing'), { status: 404, error: 'not_found' })
 })
--- a/packages/node/test/http-fixture.ts
+++ b/packages/node/test/http-fixture.ts
@@ -1,4 +1,4 @@
-/** An entry node without control, for tests of the HTTP front end. */
+/** Entry node without a control role, for tests of the HTTP front end. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http'
 import type { AddressInfo } from 'node:net'
 import {
@@ -10,16 +10,16 @@
 import { Application, type BackendServerAnnouncement, type NodeStatus } from '../src/application.js'
 import { BackendClient } from '../src/backend-client.js'
 import { HttpApi } from '../src/http-api.js'
-import { RequestService, type RequestAnswer } from '../src/request-service.js'
+import { RequestService, type RequestResult } from '../src/request-service.js'
 import { SystemClock } from '../src/system-clock.js'
 
-/** Connects the real request service to the front end and keeps what control would be asked. */
+/** Application with a real request service, which records the control operations that it is asked to execute. */
 export class EntryApplication extends Application {
   readonly clock = new SystemClock()
   readonly metrics = new CountingMetrics()
   readonly registry = new BackendRegistry(10_000)
   readonly backendClient = new BackendClient({ maxAnswerBytes: 1024 * 1024, connectTimeoutMs: 500 })
-  readonly asked: ControlOperation[] = []
+  readonly operations: ControlOperation[] = []
   isConfigurationStale = false
   isDrained = false
   answerControl: (operation: ControlOperation) => ControlResult = () => fail('control_unavailable', 'no control leader')
@@ -41,27 +41,27 @@
       backendClient: this.backendClient,
       clock: this.clock,
       metrics: this.metrics,
-      askControl: async operation => await this.ask(operation)
+      executeOperation: async operation => await this.executeOperation(operation)
     })
   }
 
   override admission (): Result<Rules> {
-    if (this.isDrained) return fail('shutting_down', 'an operator drains this node')
-    return this.isConfigurationStale ? fail('configuration_stale', 'the lease has run out') : succeed(defaultRules)
+    if (this.isDrained) return fail('shutting_down', 'this node is drained by an operator')
+    return this.isConfigurationStale ? fail('configuration_stale', 'this node has no valid configuration lease') : succeed(defaultRules)
   }
 
   override nowMs (): number {
     return this.clock.monotonicMs()
   }
 
-  override async execute (
+  override async executeRequest (
     spec: RequestSpec, body: Buffer, onCancel: (cancel: () => void) => void
-  ): Promise<Result<RequestAnswer>> {
+  ): Promise<Result<RequestResult>> {
     return await this.requests.execute(spec, body, onCancel)
   }
 
-  override async ask (operation: ControlOperation): Promise<ControlResult> {
-    this.asked.push(operation)
+  override async executeOperation (operation: ControlOperation): Promise<ControlResult> {
+    this.operations.push(operation)
     return this.answerControl(operation)
   }
 
@@ -70,9 +70,9 @@
     return { heartbeatIntervalMs: 1000, expireAfterMs: 10_000 }
   }
 
-  override leaveBackendServer (backendServerId: string): Failure | undefined {
+  override deregisterBackendServer (backendServerId: string): Failure | undefined {
     const record = this.backendServers().find(known => known.backendServerId === backendServerId)
-    if (record === undefined) return failure('not_found', `backend server ${backendServerId} is not known`)
+    if (record === undefined) return failure('not_found', `backend server ${backendServerId} is not known to this node`)
     this.registry.announce({ ...record, sequence: record.sequence + 1, state: 'leaving' }, this.nowMs())
     return undefined
   }
@@ -112,21 +112,21 @@
   return Object.assign(server, { port: (server.address() as AddressInfo).port })
 }
 
-/** A free loopback port. */
-export async function freePort (): Promise<number> {
+/** Finds a free loopback port. */
+export async function findFreePort (): Promise<number> {
   const server = await listen(() => {})
   await new Promise(resolve => { server.close(resolve) })
   return server.port
 }
 
-/** Resolves once the condition holds; the time limit of the test applies. */
-export async function until (condition: () => boolean): Promise<void> {
+/** Waits until the condition holds; the timeout of the test applies. */
+export async function waitUntil (condition: () => boolean): Promise<void> {
   while (!condition()) await new Promise<void>(resolve => { setTimeout(resolve, 5) })
 }
 
-/** Starts the front end of an application and gives its base URL. */
-export async function startApi (application: EntryApplication): Promise<{ api: HttpApi, url: string }> {
-  const port = await freePort()
+/** Starts the HTTP front end of an application and returns it with its base URL. */
+export async function startHttpApi (application: EntryApplication): Promise<{ api: HttpApi, url: string }> {
+  const port = await findFreePort()
   const api = new HttpApi({
     application,
     metrics: application.metrics,
--- a/packages/node/test/peer-links.test.ts
+++ b/packages/node/test/peer-links.test.ts
@@ -4,12 +4,12 @@
 import { PeerLinks } from '../src/peer-links.js'
 import { encodeFrame, type PeerMessage } from '../src/peer-messages.js'
 import { SystemClock } from '../src/system-clock.js'
-import { freePort, until } from './http-fixture.js'
+import { findFreePort, waitUntil } from './http-fixture.js'
 
 const HOST = '127.0.0.1'
 const request: PeerMessage = { kind: 'feed_request', version: 1, sentAtMs: 2 }
 
-/** A peer that records the bytes it gets and says what it reads. */
+/** Starts a TCP server in place of a peer, which records the bytes that it receives. */
 async function startPeer () {
   const sockets: Socket[] = []
   let received = Buffer.alloc(0)
@@ -31,11 +31,11 @@
 
 for (const readsNumberedFields of [true, undefined]) {
   const title = readsNumberedFields === true
-    ? 'a peer that reads numbered fields gets them after its hello'
-    : 'a peer of an older version gets named fields only, so that an upgrade node by node cuts no link'
+    ? 'a peer that reads numbered fields gets numbered frames after its hello'
+    : 'a peer of an older version gets named frames only, so that a rolling upgrade breaks no link'
   test(title, async t => {
     const peer = await startPeer()
-    const port = await freePort()
+    const port = await findFreePort()
     const common = { host: HOST, httpAddress: 'http://127.0.0.1:1', region: 'r', roles: ['entry' as const] }
     let isHelloTaken = false
     const ownHello: PeerMessage = { kind: 'hello', nodeId: 'n1', control: null }
@@ -59,12 +59,12 @@
     const socket = connect(port, HOST)
     const hello: PeerMessage = { kind: 'hello', nodeId: 'n2', control: null }
     socket.write(encodeFrame(readsNumberedFields === true ? { ...hello, readsNumberedFields } : hello))
-    await until(() => isHelloTaken && links.connectedNodeIds().length === 1)
+    await waitUntil(() => isHelloTaken && links.connectedNodeIds().length === 1)
     t.true(links.send('n2', request))
     const expected = Buffer.concat([
       encodeFrame(ownHello), encodeFrame(request, readsNumberedFields === true ? 'numbered' : 'named')
     ])
-    await until(() => peer.received().length >= expected.length)
+    await waitUntil(() => peer.received().length >= expected.length)
     t.deepEqual(peer.received(), expected)
     socket.destroy()
     peer.stop()
@@ -72,8 +72,8 @@
   })
 }
 
-test('a link that comes up again tells its owner, so that a restarted peer is told of the backend servers', async t => {
-  const [port, peerPort] = [await freePort(), await freePort()]
+test('a reconnected link calls onConnect again, so that a restarted peer is sent the backend server records', async t => {
+  const [port, peerPort] = [await findFreePort(), await findFreePort()]
   const common = { host: HOST, httpAddress: 'http://127.0.0.1:1', region: 'r', roles: ['entry' as const] }
   const peers = [{ ...common, nodeId: 'n1', port }, { ...common, nodeId: 'n2', port: peerPort }]
   const connected: string[] = []
@@ -98,7 +98,7 @@
   for (const start of [1, 2]) {
     const peer = createLinks('n2', peerPort, () => {})
     await peer.start()
-    await until(() => connected.length === start)
+    await waitUntil(() => connected.length === start)
     await peer.stop()
   }
   t.deepEqual(connected, ['n2', 'n2'])
--- a/packages/node/test/peer-messages.test.ts
+++ b/packages/node/test/peer-messages.test.ts
@@ -10,7 +10,7 @@
   { kind: 'control_request', requestId: 'a', operation: { kind: 'get_job', jobId: 'j1' } }
 ]
 
-test('frames split at any byte are decoded whole and in order, as TCP may split them anywhere', t => {
+test('frames that TCP splits at any byte are decoded completely and in order', t => {
   for (const format of formats) {
     const bytes = Buffer.concat(messages.map(message => encodeFrame(message, format)))
     for (let split = 0; split <= bytes.length; split++) {
@@ -21,7 +21,7 @@
   }
 })
 
-test('frames that arrive byte by byte are decoded', t => {
+test('frames that arrive byte by byte are decoded completely and in order', t => {
   for (const format of formats) {
     const bytes = Buffer.concat(messages.map(message => encodeFrame(message, format)))
     const decoder = new FrameDecoder()
@@ -30,26 +30,26 @@
   }
 })
 
-test('a length above the limit is refused before any memory is set aside for it', t => {
+test('a frame length above the limit is rejected before memory is allocated for the frame', t => {
   const header = Buffer.alloc(4)
   header.writeUInt32BE(MAX_FRAME_BYTES + 1)
   t.throws(() => new FrameDecoder().push(header), { instanceOf: RangeError })
 })
 
-test('keys that callers choose come through numbered frames unchanged, also those that look like positions', t => {
+test('keys chosen by callers are unchanged in numbered frames, even if they look like field numbers', t => {
   const result = { ok: true, value: { kind: 'other', 0: 'a', 5: { kind: 'b', unlisted: [{ term: null, 12: 'c' }] }, '07': 1 } }
   const message = { kind: 'control_response', requestId: '3', result } as unknown as PeerMessage
   t.deepEqual(new FrameDecoder().push(encodeFrame(message, 'numbered')), [message])
 })
 
-test('a frame with all names as text is read, as an older node sends it', t => {
+test('a frame with all field names as text, as older versions send it, is decoded', t => {
   const body = new Encoder({ useRecords: false, mapsAsObjects: true }).encode(messages[2])
   const header = Buffer.alloc(4)
   header.writeUInt32BE(body.length)
   t.deepEqual(new FrameDecoder().push(Buffer.concat([header, body])), [messages[2]])
 })
 
-test('a field keeps its number, so that nodes of different versions read the same field', t => {
+test('field numbers never change, so that nodes of different versions decode the same fields', t => {
   t.is(new Set(NUMBERED_FIELDS).size, NUMBERED_FIELDS.length)
   const agreed = NUMBERED_FIELDS.slice(0, 71).join(' ')
   t.is(createHash('sha256').update(agreed).digest('hex'), '7ead3284b5f8b478f455d32db87f5c232ef3ba7f45e7f7f2a1ef34cb91f5ae5e')
--- a/packages/node/test/scheduler-adapter.test.ts
+++ b/packages/node/test/scheduler-adapter.test.ts
@@ -40,7 +40,7 @@
   }
 }
 
-test('a requeued job keeps the record of the workers on which it failed, so that it stops after enough of them', t => {
+test('a requeued job keeps the record of the workers on which it failed, so that the failure limit applies', t => {
   const scheduler = createScheduler({ ...defaultPlacementSettings, maxFailedPlacements: 2 })
   scheduler.submit(job('bad'), 0)
   for (const nowMs of [10, 20]) {
@@ -54,7 +54,7 @@
   t.true(scheduler.pass(30).some(decision => decision.kind === 'stop' && decision.jobId === 'bad'))
 })
 
-test('a released job that is not submitted again frees its cells before the next pass', t => {
+test('a released job that is not submitted again frees its accelerators before the next scheduling pass', t => {
   const scheduler = createScheduler()
   for (const jobId of ['a', 'b', 'c']) scheduler.submit(job(jobId), 0)
   t.is(scheduler.pass(1).length, 2)
@@ -63,7 +63,7 @@
   t.is(scheduler.report().runningJobs, 2)
 })
 
-test('a requeued job keeps its place before later ones, so that losing a worker does not send it to the end', t => {
+test('a requeued job keeps its queue position, so that the loss of a worker does not move it to the end', t => {
   const scheduler = createScheduler()
   for (const jobId of ['a', 'b', 'c']) scheduler.submit(job(jobId), 0)
   scheduler.pass(1)
--- a/packages/node/test/settings.test.ts
+++ b/packages/node/test/settings.test.ts
@@ -14,13 +14,13 @@
 `
 const defaults = { routing: {}, placement: {}, consensus: { heartbeatIntervalMs: 100 }, control: {} }
 
-test('valid settings get the defaults of every number that they leave out', t => {
+test('omitted settings get their defaults', t => {
   const result = readSettings('n1.yaml', valid, defaults)
   t.is(result.kind, 'valid')
   if (result.kind === 'valid') t.is(result.value.timing.configurationLeaseMs, 5000)
 })
 
-test('all mistakes are reported at once with line, field, found and allowed', t => {
+test('all errors are reported at once, each with its line, field, found and allowed value', t => {
   const text = valid
     .replace('port: 7101', 'port: 0')
     .replace('dataFolder: ./data', 'dataFolder: ./data, colour: red')
@@ -35,19 +35,19 @@
   t.true(lines.some(line => line.startsWith('n1.yaml:5: peers.host: found "localhost"')))
 })
 
-test('an override of a number that no package has is an error, so that a misspelt limit is not ignored', t => {
+test('an override of an unknown setting is an error, so that a misspelt name is not ignored', t => {
   const result = readSettings('n1.yaml', valid.replace('heartbeatIntervalMs: 80', 'heartbeatMs: 80'), defaults)
   t.is(result.kind, 'invalid')
   if (result.kind === 'invalid') t.like(result.problems[0], { line: 9, field: 'consensus.heartbeatMs', found: 'an unknown field' })
 })
 
-test('a control node without a data folder is refused, as its log would not survive', t => {
+test('a control node without a data folder is rejected, as its log would not be durable', t => {
   const result = readSettings('n1.yaml', valid.replace(', dataFolder: ./data', ''), defaults)
   t.is(result.kind, 'invalid')
   if (result.kind === 'invalid') t.is(result.problems[0]?.field, 'node.dataFolder')
 })
 
-test('broken YAML gives the line of the mistake', t => {
+test('malformed YAML is rejected', t => {
   const result = readSettings('n1.yaml', 'node:\n  a: [1\nhttp: 2\n', defaults)
   t.is(result.kind, 'invalid')
 })
--- a/packages/node/test/short-requests.test.ts
+++ b/packages/node/test/short-requests.test.ts
@@ -1,19 +1,19 @@
 import test from 'ava'
 import { request } from 'undici'
-import { EntryApplication, listen, startApi } from './http-fixture.js'
+import { EntryApplication, listen, startHttpApi } from './http-fixture.js'
 
-test('a short request reaches a backend server and its whole answer comes back to the same caller', async t => {
+test('concurrent short requests get their own complete answers although the answers arrive out of order', async t => {
   const backend = await listen((req, res) => {
     const chunks: Buffer[] = []
     req.on('data', chunk => chunks.push(chunk))
     req.on('end', () => {
       const text = Buffer.concat(chunks).toString()
-      // Answers to earlier requests are the slowest, so answers arrive out of order.
+      // Earlier requests are answered later, so that answers arrive out of order.
       setTimeout(() => { res.end(`answer to ${text}`) }, 200 - Number(text) * 10)
     })
   })
   const application = new EntryApplication()
-  const { api, url } = await startApi(application)
+  const { api, url } = await startHttpApi(application)
   t.teardown(async () => {
     await api.stop()
     await application.backendClient.close()
