--- a/packages/cli/src/configuration-commands.ts
+++ b/packages/cli/src/configuration-commands.ts
@@ -5,7 +5,7 @@
 } from '@comfreygrade/core'
 import type { FileReading } from '@comfreygrade/documents'
 import { stringify } from 'yaml'
-import type { ConfigurationAnswer, ConfigurationStatusAnswer } from './answers.js'
+import type { ConfigurationAnswer, ConfigurationStatusAnswer } from './api-types.js'
 import { ClientError } from './client-error.js'
 import { type CommandContext, FileCommand, ShowCommand } from './command.js'
 import { readConfigurationFile } from './configuration-file.js'
--- a/packages/cli/src/fleet-commands.ts
+++ b/packages/cli/src/fleet-commands.ts
@@ -1,5 +1,5 @@
 /** `fleet`, `queue`, `guarantees`, `drain`, `undrain` and `status`. */
-import { type DrainKind, drainKinds, type FleetAnswer, type GuaranteeAnswer, type JobsAnswer, type StatusAnswer } from './answers.js'
+import { type DrainKind, drainKinds, type FleetAnswer, type GuaranteeAnswer, type JobsAnswer, type StatusAnswer } from './api-types.js'
 import { Command, type CommandContext, ShowCommand } from './command.js'
 import type { ExitReason } from './exit.js'
 import { renderJobs } from './job-commands.js'
--- a/packages/cli/src/index.ts
+++ b/packages/cli/src/index.ts
@@ -1,5 +1,5 @@
 export { formatFileProblem, type FileProblem, type FileReading } from '@comfreygrade/documents'
-export * from './answers.js'
+export * from './api-types.js'
 export * from './client-error.js'
 export * from './command-line.js'
 export { applyDocument, type ApplyResult } from './configuration-commands.js'
--- a/packages/cli/src/job-commands.ts
+++ b/packages/cli/src/job-commands.ts
@@ -2,7 +2,7 @@
 import { setTimeout as delay } from 'node:timers/promises'
 import type { JobExplanation, JobPhase, JobSpec } from '@comfreygrade/core'
 import type { FileReading } from '@comfreygrade/documents'
-import type { JobAnswer, JobsAnswer } from './answers.js'
+import type { JobAnswer, JobsAnswer } from './api-types.js'
 import { Command, type CommandContext, FileCommand, ShowCommand } from './command.js'
 import type { ExitReason } from './exit.js'
 import { readJobFile } from './job-file.js'
--- a/packages/cli/src/node-client.ts
+++ b/packages/cli/src/node-client.ts
@@ -3,7 +3,7 @@
 import type {
   ChangeAnswer, ClaimAnswer, ConfigurationAnswer, ConfigurationStatusAnswer, DrainAnswer, FleetAnswer, GuaranteeAnswer,
   JobAnswer, JobsAnswer, ShortRequestAnswer, StatusAnswer
-} from './answers.js'
+} from './api-types.js'
 import { ClientError } from './client-error.js'
 import { findRefusal, type NodeAnswer, type NodeCall, NodeTransport } from './node-transport.js'
 
--- a/packages/cli/src/request-commands.ts
+++ b/packages/cli/src/request-commands.ts
@@ -1,5 +1,5 @@
 /** `request SERVICE` and `claim ORG KEY`. */
-import type { ClaimAnswer, ShortRequestAnswer } from './answers.js'
+import type { ClaimAnswer, ShortRequestAnswer } from './api-types.js'
 import { Command, type CommandContext, ShowCommand } from './command.js'
 import type { ExitReason } from './exit.js'
 import type { ShortRequest } from './node-client.js'
