--- a/packages/cli/src/api-types.ts
+++ b/packages/cli/src/api-types.ts
@@ -4,19 +4,19 @@
 } from '@comfreygrade/core'
 
 /** Answer of `GET /v1/configuration`. */
-export interface ConfigurationAnswer {
+export interface ConfigurationResponse {
   readonly version: number
   readonly document: ConfigurationDocument
 }
 
 /** Answer of `POST /v1/configuration/changes`. */
-export interface ChangeAnswer {
+export interface ChangeResponse {
   readonly version: number
   readonly isDryRun: boolean
 }
 
 /** Answer of `GET /v1/configuration/status`. */
-export interface ConfigurationStatusAnswer {
+export interface ConfigurationStatusResponse {
   readonly version: number
   readonly isInForceEverywhere: boolean
   readonly nodes: ReadonlyArray<{
@@ -39,13 +39,13 @@
 }
 
 /** Answer of `GET /v1/jobs` and `GET /v1/queue`; `total` counts what the limit left out too. */
-export interface JobsAnswer {
+export interface JobListResponse {
   readonly jobs: readonly JobAnswer[]
   readonly total: number
 }
 
 /** What an organisation's guarantee holds and lends. */
-export interface GuaranteeAnswer {
+export interface GuaranteeSummary {
   readonly guaranteeId: string
   readonly organisationId: string
   readonly acceleratorModel: string
@@ -57,20 +57,20 @@
 }
 
 /** Totals of the fleet. */
-export interface FleetReportAnswer {
+export interface FleetSummary {
   readonly accelerators: number
   readonly acceleratorsInUse: number
   readonly acceleratorsLost: number
   readonly fragmentation: number
   readonly waitingJobs: number
   readonly runningJobs: number
-  readonly guarantees: readonly GuaranteeAnswer[]
+  readonly guarantees: readonly GuaranteeSummary[]
   readonly quarantinedWorkerIds: readonly string[]
   readonly drainingWorkerIds: readonly string[]
 }
 
 /** A worker as operators see it. */
-export interface WorkerAnswer {
+export interface WorkerSummary {
   readonly workerId: string
   readonly state: WorkerState
   readonly address: string
@@ -84,21 +84,21 @@
 export type DrainKind = typeof drainKinds[number]
 
 /** A drain that an operator asked for. */
-export interface DrainAnswer {
+export interface Drain {
   readonly kind: DrainKind
   readonly id: string
 }
 
 /** Answer of `GET /v1/fleet`. */
-export interface FleetAnswer {
-  readonly report: FleetReportAnswer
-  readonly workers: readonly WorkerAnswer[]
-  readonly drains: readonly DrainAnswer[]
+export interface FleetResponse {
+  readonly report: FleetSummary
+  readonly workers: readonly WorkerSummary[]
+  readonly drains: readonly Drain[]
   readonly backendServers: readonly BackendServerRecord[]
 }
 
 /** Answer of `GET /v1/claims/{organisation}/{key}`; the body of the recorded answer is base64. */
-export interface ClaimAnswer {
+export interface ClaimResponse {
   readonly organisationId: string
   readonly key: string
   readonly state: 'pending' | 'completed' | 'not_run' | 'unknown'
--- a/packages/cli/src/command-line.ts
+++ b/packages/cli/src/command-line.ts
@@ -12,7 +12,7 @@
 import * as requests from './request-commands.js'
 
 /** Address where no `--node` is given. */
-const DEFAULT_NODE = 'http://127.0.0.1:8080'
+const DEFAULT_NODE_URL = 'http://127.0.0.1:8080'
 
 /** Above the default deadline of a short request, so that a node's own answer comes first. */
 const DEFAULT_TIMEOUT_MS = 15_000
@@ -47,31 +47,31 @@
  * await runCommandLine(['config', 'status', '--json'], streams) // 'done'
  */
 export async function runCommandLine (argv: readonly string[], streams: Streams): Promise<ExitReason> {
-  const { input, flags } = parse(argv)
+  const { input, flags } = parseArguments(argv)
   const output = flags.json ? new JsonOutput(streams) : new TextOutput(streams)
-  const usageProblem = checkNumbers(flags)
+  const usageProblem = validateNumbers(flags)
   const command = findCommand(input)
-  if (command === undefined || usageProblem !== undefined) return reportUsage(output, input, usageProblem)
+  if (command === undefined || usageProblem !== undefined) return reportUsageError(output, input, usageProblem)
   const client = new NodeClient(flags.node, flags.timeoutMs)
   try {
-    const values = input.slice(command.words.length)
-    return await command.run(toContext(client, output, streams, flags, values))
+    const args = input.slice(command.words.length)
+    return await command.run(toContext(client, output, streams, flags, args))
   } catch (error) {
     if (!(error instanceof ClientError)) throw error
-    output.problem({ problem: error.problem }, error.message)
+    output.writeProblem({ problem: error.problem }, error.message)
     return exitReasonOf(error.problem)
   } finally {
     await client.close()
   }
 }
 
-function parse (argv: readonly string[]) {
+function parseArguments (argv: readonly string[]) {
   return meow(helpText(), {
     importMeta: import.meta,
     argv,
     allowUnknownFlags: false,
     flags: {
-      node: { type: 'string', isMultiple: true, default: [DEFAULT_NODE] },
+      node: { type: 'string', isMultiple: true, default: [DEFAULT_NODE_URL] },
       json: { type: 'boolean', default: false },
       timeoutMs: { type: 'number', default: DEFAULT_TIMEOUT_MS },
       phase: { type: 'string' },
@@ -88,7 +88,7 @@
   })
 }
 
-type Flags = ReturnType<typeof parse>['flags']
+type Flags = ReturnType<typeof parseArguments>['flags']
 
 function helpText (): string {
   const width = Math.max(...commands.map(command => command.usage.length))
@@ -101,7 +101,7 @@
 ${lines.join('\n')}
 
   Options
-    --node URL         a node; repeatable, the next is tried when one cannot be reached or shuts down (${DEFAULT_NODE})
+    --node URL         a node; repeatable, the next is tried when one cannot be reached or shuts down (${DEFAULT_NODE_URL})
     --json             JSON for programs instead of tables; problems go to stderr as JSON too
     --timeout-ms N     time for one attempt at one node (${DEFAULT_TIMEOUT_MS})
     --organisation ID  of "request"; filter of "jobs"
@@ -120,7 +120,7 @@
     input.length === words.length + parameters.length && words.every((word, index) => input[index] === word)))
 }
 
-function checkNumbers (flags: Flags): string | undefined {
+function validateNumbers (flags: Flags): string | undefined {
   const { timeoutMs, intervalMs, deadlineMs, limit } = flags
   const numbers = {
     '--timeout-ms': timeoutMs, '--interval-ms': intervalMs, '--deadline-ms': deadlineMs, '--limit': limit
@@ -131,16 +131,16 @@
   return wrong.map(([name, value]) => `${name}: found ${value}, allowed a whole number of at least 1`).join('\n')
 }
 
-function reportUsage (output: Output, input: readonly string[], problem: string | undefined): ExitReason {
+function reportUsageError (output: Output, input: readonly string[], problem: string | undefined): ExitReason {
   const usages = commands.map(command => command.usage)
   const text = problem ?? `found "${input.join(' ')}", allowed one of:\n  ${usages.join('\n  ')}`
-  output.problem({ usage: text }, text)
+  output.writeProblem({ usage: text }, text)
   return 'usage'
 }
 
 function toContext (
-  client: NodeClient, output: Output, streams: Streams, flags: Flags, values: readonly string[]
+  client: NodeClient, output: Output, streams: Streams, flags: Flags, args: readonly string[]
 ): CommandContext {
   const options: CommandOptions = flags
-  return { client, output, streams, options, values, readFile: async file => await readFile(file, 'utf8') }
+  return { client, output, streams, options, args, readFile: async file => await readFile(file, 'utf8') }
 }
--- a/packages/cli/src/command.ts
+++ b/packages/cli/src/command.ts
@@ -26,7 +26,7 @@
   readonly streams: Streams
   readonly options: CommandOptions
   /** Values of `parameters`, in their order. */
-  readonly values: readonly string[]
+  readonly args: readonly string[]
   readFile (file: string): Promise<string>
 }
 
@@ -49,16 +49,16 @@
 }
 
 /** A command that asks a node once and shows the answer. */
-export abstract class ShowCommand<T> extends Command {
+export abstract class SingleCallCommand<T> extends Command {
   override async run (context: CommandContext): Promise<ExitReason> {
-    const answer = await this.fetch(context)
-    context.output.show(answer, () => this.render(answer, context))
+    const response = await this.fetch(context)
+    context.output.writeResult(response, () => this.render(response, context))
     return 'done'
   }
 
   protected abstract fetch (context: CommandContext): Promise<T>
   /** Gives the answer as text for people. */
-  protected abstract render (answer: T, context: CommandContext): string
+  protected abstract render (response: T, context: CommandContext): string
 }
 
 /** A command whose first parameter is a file; an invalid one ends it. */
@@ -66,7 +66,7 @@
   override readonly parameters: readonly string[] = ['FILE']
 
   override async run (context: CommandContext): Promise<ExitReason> {
-    const value = await readInput(context, context.values[0] ?? '', (file, text) => this.parse(file, text))
+    const value = await readInput(context, context.args[0] ?? '', (file, text) => this.parse(file, text))
     return value === undefined ? 'usage' : await this.runWith(value, context)
   }
 
@@ -84,11 +84,11 @@
 ): Promise<T | undefined> {
   try {
     const text = file === '-' ? (await streams.readStdin()).toString('utf8') : await readFile(file)
-    const reading = parse(file, text)
-    if (reading.kind === 'valid') return reading.value
-    output.problem({ problems: reading.problems }, reading.problems.map(formatFileProblem).join('\n'))
+    const result = parse(file, text)
+    if (result.kind === 'valid') return result.value
+    output.writeProblem({ problems: result.problems }, result.problems.map(formatFileProblem).join('\n'))
   } catch (error) {
-    output.problem({ problems: [{ file, detail: String(error) }] }, `${file}: ${String(error)}`)
+    output.writeProblem({ problems: [{ file, detail: String(error) }] }, `${file}: ${String(error)}`)
   }
   return undefined
 }
--- a/packages/cli/src/configuration-commands.ts
+++ b/packages/cli/src/configuration-commands.ts
@@ -5,57 +5,57 @@
 } from '@comfreygrade/core'
 import type { FileReading } from '@comfreygrade/documents'
 import { stringify } from 'yaml'
-import type { ConfigurationAnswer, ConfigurationStatusAnswer } from './api-types.js'
+import type { ConfigurationResponse, ConfigurationStatusResponse } from './api-types.js'
 import { ClientError } from './client-error.js'
-import { type CommandContext, FileCommand, ShowCommand } from './command.js'
+import { type CommandContext, FileCommand, SingleCallCommand } from './command.js'
 import { readConfigurationFile } from './configuration-file.js'
 import { type ExitReason, exitReasonOf } from './exit.js'
 import type { NodeClient } from './node-client.js'
 import { renderTable } from './tables.js'
 
 /** A command on a configuration file. */
-abstract class DocumentCommand extends FileCommand<ConfigurationDocument> {
+abstract class ConfigurationFileCommand extends FileCommand<ConfigurationDocument> {
   protected override parse (file: string, text: string): FileReading<ConfigurationDocument> {
     return readConfigurationFile(file, text)
   }
 }
 
 /** `config check FILE`: the checks that need no node; with `--with-node` also those that do. */
-export class ConfigCheckCommand extends DocumentCommand {
+export class ConfigCheckCommand extends ConfigurationFileCommand {
   override readonly words = ['config', 'check']
   override readonly summary = 'check a configuration file; --with-node also asks a node whether it would be accepted'
 
   protected override async runWith (document: ConfigurationDocument, context: CommandContext): Promise<ExitReason> {
-    if (context.options.withNode) await dryRun(context.client, await changeTo(context.client, document))
+    if (context.options.withNode) await dryRun(context.client, await computeChange(context.client, document))
     const counts = countRecords(document)
-    context.output.show({ isValid: true, ...counts }, () => `${context.values[0]} is valid: ${describeCounts(counts)}`)
+    context.output.writeResult({ isValid: true, ...counts }, () => `${context.args[0]} is valid: ${describeCounts(counts)}`)
     return 'done'
   }
 }
 
 /** `config diff FILE`: what `apply` would change, and whether it would be accepted. */
-export class ConfigDiffCommand extends DocumentCommand {
+export class ConfigDiffCommand extends ConfigurationFileCommand {
   override readonly words = ['config', 'diff']
   override readonly summary = 'show what apply would change and whether it would be accepted'
 
   protected override async runWith (document: ConfigurationDocument, context: CommandContext): Promise<ExitReason> {
-    const current = await currentConfiguration(context.client)
+    const current = await fetchCurrentConfiguration(context.client)
     const change = diffDocument(current, document)
-    context.output.show({ change }, () => renderChange(current, change))
+    context.output.writeResult({ change }, () => renderChange(current, change))
     await dryRun(context.client, change)
     return 'done'
   }
 }
 
 /** `config apply FILE`. */
-export class ConfigApplyCommand extends DocumentCommand {
+export class ConfigApplyCommand extends ConfigurationFileCommand {
   override readonly words = ['config', 'apply']
   override readonly summary = 'put a configuration file in force'
 
   protected override async runWith (document: ConfigurationDocument, context: CommandContext): Promise<ExitReason> {
     try {
       const result = await applyDocument(context.client, document)
-      context.output.show(result, () => describeApplied(result))
+      context.output.writeResult(result, () => describeApplyResult(result))
       return 'done'
     } catch (error) {
       return await reportConflict(context, document, error)
@@ -64,32 +64,32 @@
 }
 
 /** `config show`. */
-export class ConfigShowCommand extends ShowCommand<ConfigurationAnswer> {
+export class ConfigShowCommand extends SingleCallCommand<ConfigurationResponse> {
   override readonly words = ['config', 'show']
   override readonly summary = 'print the configuration in force as YAML that apply accepts'
 
-  protected override async fetch ({ client }: CommandContext): Promise<ConfigurationAnswer> {
+  protected override async fetch ({ client }: CommandContext): Promise<ConfigurationResponse> {
     return await client.configuration()
   }
 
-  protected override render ({ version, document }: ConfigurationAnswer): string {
+  protected override render ({ version, document }: ConfigurationResponse): string {
     return `# version ${version}\n${stringify(document).trimEnd()}`
   }
 }
 
 /** `config status`. */
-export class ConfigStatusCommand extends ShowCommand<ConfigurationStatusAnswer> {
+export class ConfigStatusCommand extends SingleCallCommand<ConfigurationStatusResponse> {
   override readonly words = ['config', 'status']
   override readonly summary = 'show on which nodes the configuration is in force'
 
-  protected override async fetch ({ client }: CommandContext): Promise<ConfigurationStatusAnswer> {
+  protected override async fetch ({ client }: CommandContext): Promise<ConfigurationStatusResponse> {
     return await client.configurationStatus()
   }
 
-  protected override render ({ version, isInForceEverywhere, nodes }: ConfigurationStatusAnswer): string {
+  protected override render ({ version, isInForceEverywhere, nodes }: ConfigurationStatusResponse): string {
     const rows = nodes.map(node => [node.nodeId, node.acknowledgedVersion, node.hasLease ? 'yes' : 'no'])
-    const place = isInForceEverywhere ? 'everywhere' : 'not everywhere yet'
-    return `version ${version}, in force ${place}\n${renderTable(['node', 'acknowledged', 'lease'], rows)}`
+    const scope = isInForceEverywhere ? 'everywhere' : 'not everywhere yet'
+    return `version ${version}, in force ${scope}\n${renderTable(['node', 'acknowledged', 'lease'], rows)}`
   }
 }
 
@@ -107,19 +107,19 @@
  * await applyDocument(client, document) // { version: 4, changedRecords: 2 }
  */
 export async function applyDocument (client: NodeClient, document: ConfigurationDocument): Promise<ApplyResult> {
-  const change = await changeTo(client, document)
+  const change = await computeChange(client, document)
   if (isEmptyChange(change)) return { version: change.baseVersion, changedRecords: 0 }
   const { version } = await client.applyChange(change)
   return { version, changedRecords: countChanges(change) }
 }
 
-async function currentConfiguration (client: NodeClient): Promise<Configuration> {
+async function fetchCurrentConfiguration (client: NodeClient): Promise<Configuration> {
   const { version, document } = await client.configuration()
   return fromDocument(document, version)
 }
 
-async function changeTo (client: NodeClient, document: ConfigurationDocument): Promise<ConfigurationChange> {
-  return diffDocument(await currentConfiguration(client), document)
+async function computeChange (client: NodeClient, document: ConfigurationDocument): Promise<ConfigurationChange> {
+  return diffDocument(await fetchCurrentConfiguration(client), document)
 }
 
 /** Throws where a node would refuse the change. */
@@ -132,9 +132,9 @@
   { client, output }: CommandContext, document: ConfigurationDocument, error: unknown
 ): Promise<ExitReason> {
   if (!(error instanceof ClientError) || exitReasonOf(error.problem) !== 'conflict') throw error
-  const current = await currentConfiguration(client)
+  const current = await fetchCurrentConfiguration(client)
   const change = diffDocument(current, document)
-  output.problem({ problem: error.problem, versionInForce: current.version, change },
+  output.writeProblem({ problem: error.problem, versionInForce: current.version, change },
     `${error.message}\nversion ${current.version} is in force; the file differs from it in:\n${renderChange(current, change)}`)
   return 'conflict'
 }
@@ -147,7 +147,7 @@
   return upserts.length + removes.length
 }
 
-function describeApplied ({ version, changedRecords }: ApplyResult): string {
+function describeApplyResult ({ version, changedRecords }: ApplyResult): string {
   if (changedRecords === 0) return `nothing to change, version ${version} is in force`
   return `version ${version} accepted, ${changedRecords} records changed`
 }
@@ -165,9 +165,9 @@
 
 function renderChange (current: Configuration, change: ConfigurationChange): string {
   if (isEmptyChange(change)) return `no difference from version ${current.version}`
-  const removed = change.removes.map(({ kind, id }) => ['remove', kind, id, ''])
-  const written = change.upserts.map(upsert => describeUpsert(current, upsert))
-  return renderTable(['change', 'kind', 'id', 'fields'], [...removed, ...written])
+  const removeRows = change.removes.map(({ kind, id }) => ['remove', kind, id, ''])
+  const upsertRows = change.upserts.map(upsert => describeUpsert(current, upsert))
+  return renderTable(['change', 'kind', 'id', 'fields'], [...removeRows, ...upsertRows])
 }
 
 function describeUpsert (current: Configuration, upsert: Upsert): string[] {
--- a/packages/cli/src/configuration-file.ts
+++ b/packages/cli/src/configuration-file.ts
@@ -10,41 +10,41 @@
  * if (reading.kind === 'valid') reading.value.workers.length
  */
 export function readConfigurationFile (file: string, text: string): FileReading<ConfigurationDocument> {
-  return readYaml(file, text, configurationDocumentSchema, checkDocument)
+  return readYaml(file, text, configurationDocumentSchema, validateDocument)
 }
 
-function checkDocument (document: ConfigurationDocument): FieldProblem[] {
+function validateDocument (document: ConfigurationDocument): FieldProblem[] {
   const problems = [
     ...findDuplicates('racks', 'rackId', document.racks.map(rack => rack.rackId)),
     ...findDuplicates('workers', 'workerId', document.workers.map(worker => worker.workerId)),
     ...findDuplicates('organisations', 'organisationId', document.organisations.map(({ organisationId }) => organisationId)),
     ...findDuplicates('guarantees', 'guaranteeId', document.guarantees.map(guarantee => guarantee.guaranteeId)),
     ...findDuplicates('workers', 'rackPosition', document.workers.map(worker => `${worker.rackPosition} of rack ${worker.rackId}`)),
-    ...findUnknownRacks(document),
-    ...findUnknownOrganisations(document)
+    ...findUnknownRackReferences(document),
+    ...findUnknownOrganisationReferences(document)
   ]
-  return problems.length > 0 ? problems : checkAsChange(document)
+  return problems.length > 0 ? problems : validateAsChange(document)
 }
 
 function findDuplicates (list: string, field: string, values: readonly string[]): FieldProblem[] {
   const problems: FieldProblem[] = []
-  const firstIndex = new Map<string, number>()
+  const firstIndexByValue = new Map<string, number>()
   for (const [index, value] of values.entries()) {
-    const first = firstIndex.get(value)
-    if (first === undefined) firstIndex.set(value, index)
-    else problems.push({ path: [list, index, field], found: `${value} again`, allowed: `one; ${list}[${first}] has it` })
+    const firstIndex = firstIndexByValue.get(value)
+    if (firstIndex === undefined) firstIndexByValue.set(value, index)
+    else problems.push({ path: [list, index, field], found: `${value} again`, allowed: `one; ${list}[${firstIndex}] has it` })
   }
   return problems
 }
 
-function findUnknownRacks ({ racks, workers }: ConfigurationDocument): FieldProblem[] {
+function findUnknownRackReferences ({ racks, workers }: ConfigurationDocument): FieldProblem[] {
   const known = new Set(racks.map(rack => rack.rackId))
   return workers.flatMap(({ rackId }, index) => known.has(rackId)
     ? []
     : [{ path: ['workers', index, 'rackId'], found: `"${rackId}"`, allowed: 'a rackId of racks' }])
 }
 
-function findUnknownOrganisations ({ organisations, guarantees }: ConfigurationDocument): FieldProblem[] {
+function findUnknownOrganisationReferences ({ organisations, guarantees }: ConfigurationDocument): FieldProblem[] {
   const known = new Set(organisations.map(organisation => organisation.organisationId))
   return guarantees.flatMap(({ organisationId }, index) => known.has(organisationId)
     ? []
@@ -52,7 +52,7 @@
 }
 
 /** The node checks a change in the same way, so that a file that passes here has no broken reference there. */
-function checkAsChange (document: ConfigurationDocument): FieldProblem[] {
+function validateAsChange (document: ConfigurationDocument): FieldProblem[] {
   const empty = emptyConfiguration()
   const result = applyChange(empty, diffDocument(empty, document))
   return result.ok ? [] : [{ path: [], found: result.failure.detail, allowed: 'a consistent document' }]
--- a/packages/cli/src/exit.ts
+++ b/packages/cli/src/exit.ts
@@ -11,7 +11,7 @@
 }
 
 /** Refusals because somebody else was first. */
-const CONFLICTS: ReadonlySet<ErrorKind> = new Set<ErrorKind>(['version_conflict', 'version_gap', 'job_exists'])
+const CONFLICT_ERRORS: ReadonlySet<ErrorKind> = new Set<ErrorKind>(['version_conflict', 'version_gap', 'job_exists'])
 
 /**
  * Gives the reason to end for a failed call.
@@ -23,6 +23,6 @@
   switch (problem.kind) {
     case 'unreachable': return 'unreachable'
     case 'unexpected': return 'refused'
-    case 'refused': return CONFLICTS.has(problem.body.error) ? 'conflict' : 'refused'
+    case 'refused': return CONFLICT_ERRORS.has(problem.body.error) ? 'conflict' : 'refused'
   }
 }
--- a/packages/cli/src/fleet-commands.ts
+++ b/packages/cli/src/fleet-commands.ts
@@ -1,58 +1,60 @@
 /** `fleet`, `queue`, `guarantees`, `drain`, `undrain` and `status`. */
-import { type DrainKind, drainKinds, type FleetAnswer, type GuaranteeAnswer, type JobsAnswer, type StatusAnswer } from './api-types.js'
-import { Command, type CommandContext, ShowCommand } from './command.js'
+import {
+  type DrainKind, drainKinds, type FleetResponse, type GuaranteeSummary, type JobListResponse, type StatusAnswer
+} from './api-types.js'
+import { Command, type CommandContext, SingleCallCommand } from './command.js'
 import type { ExitReason } from './exit.js'
 import { renderJobs } from './job-commands.js'
 import { renderFields, renderSections, renderTable } from './tables.js'
 
 /** `fleet`. */
-export class FleetCommand extends ShowCommand<FleetAnswer> {
+export class FleetCommand extends SingleCallCommand<FleetResponse> {
   override readonly words = ['fleet']
   override readonly summary = 'show totals, workers, backend servers and drains'
 
-  protected override async fetch ({ client }: CommandContext): Promise<FleetAnswer> {
+  protected override async fetch ({ client }: CommandContext): Promise<FleetResponse> {
     return await client.fleet()
   }
 
-  protected override render (fleet: FleetAnswer): string {
+  protected override render (fleet: FleetResponse): string {
     return renderFleet(fleet)
   }
 }
 
 /** `queue`. */
-export class QueueCommand extends ShowCommand<JobsAnswer> {
+export class QueueCommand extends SingleCallCommand<JobListResponse> {
   override readonly words = ['queue']
   override readonly summary = 'list waiting jobs in the order in which they began to wait'
 
-  protected override async fetch ({ client }: CommandContext): Promise<JobsAnswer> {
+  protected override async fetch ({ client }: CommandContext): Promise<JobListResponse> {
     return await client.queue()
   }
 
-  protected override render ({ jobs, total }: JobsAnswer): string {
+  protected override render ({ jobs, total }: JobListResponse): string {
     return renderJobs(jobs, total)
   }
 }
 
-interface GuaranteesAnswer {
-  readonly guarantees: readonly GuaranteeAnswer[]
+interface GuaranteesResponse {
+  readonly guarantees: readonly GuaranteeSummary[]
 }
 
 /** `guarantees`. */
-export class GuaranteesCommand extends ShowCommand<GuaranteesAnswer> {
+export class GuaranteesCommand extends SingleCallCommand<GuaranteesResponse> {
   override readonly words = ['guarantees']
   override readonly summary = 'show what each guarantee holds, lends and misses'
 
-  protected override async fetch ({ client }: CommandContext): Promise<GuaranteesAnswer> {
+  protected override async fetch ({ client }: CommandContext): Promise<GuaranteesResponse> {
     return { guarantees: await client.guarantees() }
   }
 
-  protected override render ({ guarantees }: GuaranteesAnswer): string {
+  protected override render ({ guarantees }: GuaranteesResponse): string {
     return renderGuarantees(guarantees)
   }
 }
 
 /** `status`. */
-export class StatusCommand extends ShowCommand<StatusAnswer> {
+export class StatusCommand extends SingleCallCommand<StatusAnswer> {
   override readonly words = ['status']
   override readonly summary = 'show the status and counters of the node that answers'
 
@@ -66,46 +68,46 @@
 }
 
 /** Commands that take a kind and an ID of a part. */
-abstract class DrainPartCommand extends Command {
+abstract class DrainTargetCommand extends Command {
   override readonly parameters = ['KIND', 'ID']
 
   override async run (context: CommandContext): Promise<ExitReason> {
-    const [kind = '', id = ''] = context.values
+    const [kind = '', id = ''] = context.args
     const drainKind = drainKinds.find(candidate => candidate === kind)
     if (drainKind === undefined) {
-      context.output.problem({ found: kind, allowed: drainKinds }, `KIND ${kind}: allowed ${drainKinds.join(', ')}`)
+      context.output.writeProblem({ found: kind, allowed: drainKinds }, `KIND ${kind}: allowed ${drainKinds.join(', ')}`)
       return 'usage'
     }
-    await this.apply(context, drainKind, id)
+    await this.updateDrain(context, drainKind, id)
     return 'done'
   }
 
-  protected abstract apply (context: CommandContext, kind: DrainKind, id: string): Promise<void>
+  protected abstract updateDrain (context: CommandContext, kind: DrainKind, id: string): Promise<void>
 }
 
 /** `drain KIND ID`. */
-export class DrainCommand extends DrainPartCommand {
+export class DrainCommand extends DrainTargetCommand {
   override readonly words = ['drain']
   override readonly summary = `give a part no new work; KIND is ${drainKinds.join(', ')}`
 
-  protected override async apply ({ client, output }: CommandContext, kind: DrainKind, id: string): Promise<void> {
+  protected override async updateDrain ({ client, output }: CommandContext, kind: DrainKind, id: string): Promise<void> {
     await client.drain({ kind, id })
-    output.show({ kind, id, isDraining: true }, () => `${kind} ${id} gets no new work`)
+    output.writeResult({ kind, id, isDraining: true }, () => `${kind} ${id} gets no new work`)
   }
 }
 
 /** `undrain KIND ID`. */
-export class UndrainCommand extends DrainPartCommand {
+export class UndrainCommand extends DrainTargetCommand {
   override readonly words = ['undrain']
   override readonly summary = 'end a drain'
 
-  protected override async apply ({ client, output }: CommandContext, kind: DrainKind, id: string): Promise<void> {
+  protected override async updateDrain ({ client, output }: CommandContext, kind: DrainKind, id: string): Promise<void> {
     await client.undrain({ kind, id })
-    output.show({ kind, id, isDraining: false }, () => `${kind} ${id} gets work again`)
+    output.writeResult({ kind, id, isDraining: false }, () => `${kind} ${id} gets work again`)
   }
 }
 
-function renderFleet ({ report, workers, drains, backendServers }: FleetAnswer): string {
+function renderFleet ({ report, workers, drains, backendServers }: FleetResponse): string {
   const { guarantees: _guarantees, ...totals } = report
   const workerRows = workers.map(({ workerId, state, tasks, address }) => [workerId, state, tasks, address])
   const serverRows = backendServers.map(server => (
@@ -118,7 +120,7 @@
   ])
 }
 
-function renderGuarantees (guarantees: readonly GuaranteeAnswer[]): string {
+function renderGuarantees (guarantees: readonly GuaranteeSummary[]): string {
   const head = ['guarantee', 'organisation', 'cell', 'cells', 'in use', 'lent accelerators', 'missing cells']
   return renderTable(head, guarantees.map(guarantee => [
     guarantee.guaranteeId, guarantee.organisationId, `${guarantee.acceleratorsPerCell} ${guarantee.acceleratorModel}`,
--- a/packages/cli/src/job-commands.ts
+++ b/packages/cli/src/job-commands.ts
@@ -2,23 +2,23 @@
 import { setTimeout as delay } from 'node:timers/promises'
 import type { JobExplanation, JobPhase, JobSpec } from '@comfreygrade/core'
 import type { FileReading } from '@comfreygrade/documents'
-import type { JobAnswer, JobsAnswer } from './api-types.js'
-import { Command, type CommandContext, FileCommand, ShowCommand } from './command.js'
+import type { JobAnswer, JobListResponse } from './api-types.js'
+import { Command, type CommandContext, FileCommand, SingleCallCommand } from './command.js'
 import type { ExitReason } from './exit.js'
 import { readJobFile } from './job-file.js'
 import { renderFields, renderTable } from './tables.js'
 
 /** `jobs`. */
-export class JobsCommand extends ShowCommand<JobsAnswer> {
+export class JobsCommand extends SingleCallCommand<JobListResponse> {
   override readonly words = ['jobs']
   override readonly summary = 'list jobs; --phase, --organisation and --limit narrow the list'
 
-  protected override async fetch ({ client, options }: CommandContext): Promise<JobsAnswer> {
+  protected override async fetch ({ client, options }: CommandContext): Promise<JobListResponse> {
     const { phase, organisation, limit } = options
     return await client.jobs({ phase: phase as JobPhase | undefined, organisation, limit })
   }
 
-  protected override render ({ jobs, total }: JobsAnswer): string {
+  protected override render ({ jobs, total }: JobListResponse): string {
     return renderJobs(jobs, total)
   }
 }
@@ -34,20 +34,20 @@
   }
 
   protected override async runWith (job: JobSpec, { client, output }: CommandContext): Promise<ExitReason> {
-    const answer = await client.submitJob(job)
-    output.show(answer, () => `job ${answer.spec.jobId} is ${answer.phase}`)
+    const response = await client.submitJob(job)
+    output.writeResult(response, () => `job ${response.spec.jobId} is ${response.phase}`)
     return 'done'
   }
 }
 
 /** `job show ID`. */
-export class JobShowCommand extends ShowCommand<JobAnswer> {
+export class JobShowCommand extends SingleCallCommand<JobAnswer> {
   override readonly words = ['job', 'show']
   override readonly parameters = ['ID']
   override readonly summary = 'show a job and where it runs'
 
-  protected override async fetch ({ client, values }: CommandContext): Promise<JobAnswer> {
-    return await client.job(values[0] ?? '')
+  protected override async fetch ({ client, args }: CommandContext): Promise<JobAnswer> {
+    return await client.job(args[0] ?? '')
   }
 
   protected override render (job: JobAnswer): string {
@@ -56,13 +56,13 @@
 }
 
 /** `job cancel ID`. */
-export class JobCancelCommand extends ShowCommand<JobAnswer> {
+export class JobCancelCommand extends SingleCallCommand<JobAnswer> {
   override readonly words = ['job', 'cancel']
   override readonly parameters = ['ID']
   override readonly summary = 'cancel a job'
 
-  protected override async fetch ({ client, values }: CommandContext): Promise<JobAnswer> {
-    return await client.cancelJob(values[0] ?? '')
+  protected override async fetch ({ client, args }: CommandContext): Promise<JobAnswer> {
+    return await client.cancelJob(args[0] ?? '')
   }
 
   protected override render ({ spec }: JobAnswer): string {
@@ -71,13 +71,13 @@
 }
 
 /** `job explain ID`. */
-export class JobExplainCommand extends ShowCommand<JobExplanation> {
+export class JobExplainCommand extends SingleCallCommand<JobExplanation> {
   override readonly words = ['job', 'explain']
   override readonly parameters = ['ID']
   override readonly summary = 'say why a job waits or how it was placed'
 
-  protected override async fetch ({ client, values }: CommandContext): Promise<JobExplanation> {
-    return await client.explainJob(values[0] ?? '')
+  protected override async fetch ({ client, args }: CommandContext): Promise<JobExplanation> {
+    return await client.explainJob(args[0] ?? '')
   }
 
   protected override render (explanation: JobExplanation): string {
@@ -91,13 +91,13 @@
   override readonly parameters = ['ID']
   override readonly summary = 'print each change of a job until it has ended; exit code 1 where it did not complete'
 
-  override async run ({ client, output, values, options }: CommandContext): Promise<ExitReason> {
-    let printed = ''
+  override async run ({ client, output, args, options }: CommandContext): Promise<ExitReason> {
+    let previousLine = ''
     for (;;) {
-      const job = await client.job(values[0] ?? '')
-      const line = describeJob(job)
-      if (line !== printed) output.show(job, () => line)
-      printed = line
+      const job = await client.job(args[0] ?? '')
+      const line = describeState(job)
+      if (line !== previousLine) output.writeResult(job, () => line)
+      previousLine = line
       if (job.phase === 'ended') return job.outcome === 'completed' ? 'done' : 'refused'
       await delay(options.intervalMs)
     }
@@ -107,16 +107,16 @@
 /** Renders a list of jobs. */
 export function renderJobs (jobs: readonly JobAnswer[], total: number): string {
   const rows = jobs.map(({ spec, phase, outcome, starts, detail }) => (
-    [spec.jobId, spec.organisationId, spec.priority, describeShape(spec), phase, outcome ?? '-', starts, detail]))
+    [spec.jobId, spec.organisationId, spec.priority, describeGangShape(spec), phase, outcome ?? '-', starts, detail]))
   const head = ['job', 'organisation', 'priority', 'shape', 'phase', 'outcome', 'starts', 'detail']
   return `${renderTable(head, rows)}\n${jobs.length} of ${total} jobs`
 }
 
-function describeJob ({ phase, outcome, detail }: JobAnswer): string {
+function describeState ({ phase, outcome, detail }: JobAnswer): string {
   return outcome === null ? `${phase}: ${detail}` : `${phase} as ${outcome}: ${detail}`
 }
 
-function describeShape ({ tasks, acceleratorsPerTask, acceleratorModel, adjacency }: JobAnswer['spec']): string {
+function describeGangShape ({ tasks, acceleratorsPerTask, acceleratorModel, adjacency }: JobAnswer['spec']): string {
   return `${tasks} x ${acceleratorsPerTask} ${acceleratorModel} (${adjacency})`
 }
 
--- a/packages/cli/src/job-file.ts
+++ b/packages/cli/src/job-file.ts
@@ -22,7 +22,7 @@
 })
 
 /** Longest job class that is repeated in a generated job ID; an identifier has at most 64 characters. */
-const MAX_CLASS_CHARACTERS = 50
+const MAX_JOB_CLASS_PREFIX_CHARACTERS = 50
 
 /**
  * Reads a job; a job ID is generated where the file gives none, so that a repeated submission creates no second job.
@@ -31,12 +31,12 @@
  * readJobFile('job.yaml', text)
  */
 export function readJobFile (file: string, text: string): FileReading<JobSpec> {
-  const reading = readYaml(file, text, jobSchema, () => [])
-  if (reading.kind === 'invalid') return reading
-  const { jobId, ...rest } = reading.value
+  const result = readYaml(file, text, jobSchema, () => [])
+  if (result.kind === 'invalid') return result
+  const { jobId, ...rest } = result.value
   return { kind: 'valid', value: { jobId: jobId ?? generateJobId(rest.jobClass), ...rest } }
 }
 
 function generateJobId (jobClass: string): string {
-  return `${jobClass.slice(0, MAX_CLASS_CHARACTERS)}-${randomBytes(6).toString('hex')}`
+  return `${jobClass.slice(0, MAX_JOB_CLASS_PREFIX_CHARACTERS)}-${randomBytes(6).toString('hex')}`
 }
--- a/packages/cli/src/node-client.ts
+++ b/packages/cli/src/node-client.ts
@@ -1,11 +1,11 @@
 /** Typed client of the node's HTTP API (docs/api.md). */
 import type { ConfigurationChange, JobExplanation, JobPhase, JobSpec, Repeatability } from '@comfreygrade/core'
 import type {
-  ChangeAnswer, ClaimAnswer, ConfigurationAnswer, ConfigurationStatusAnswer, DrainAnswer, FleetAnswer, GuaranteeAnswer,
-  JobAnswer, JobsAnswer, ShortRequestAnswer, StatusAnswer
+  ChangeResponse, ClaimResponse, ConfigurationResponse, ConfigurationStatusResponse, Drain, FleetResponse,
+  GuaranteeSummary, JobAnswer, JobListResponse, ShortRequestAnswer, StatusAnswer
 } from './api-types.js'
 import { ClientError } from './client-error.js'
-import { findRefusal, type NodeAnswer, type NodeCall, NodeTransport } from './node-transport.js'
+import { findRefusal, type NodeCall, type NodeResponse, NodeTransport } from './node-transport.js'
 
 /** Filter of `GET /v1/jobs`. */
 export interface JobFilter {
@@ -47,99 +47,99 @@
   }
 
   /** The configuration in force. */
-  async configuration (): Promise<ConfigurationAnswer> {
-    return await this.#get('/v1/configuration')
+  async configuration (): Promise<ConfigurationResponse> {
+    return await this.#getJson('/v1/configuration')
   }
 
   /** How far the configuration in force has spread. */
-  async configurationStatus (): Promise<ConfigurationStatusAnswer> {
-    return await this.#get('/v1/configuration/status')
+  async configurationStatus (): Promise<ConfigurationStatusResponse> {
+    return await this.#getJson('/v1/configuration/status')
   }
 
   /** Sends a change; the same change may be sent again and gets the same answer. */
-  async applyChange (change: ConfigurationChange, isDryRun = false): Promise<ChangeAnswer> {
-    return await this.#post(`/v1/configuration/changes${isDryRun ? '?dryRun=true' : ''}`, change)
+  async applyChange (change: ConfigurationChange, isDryRun = false): Promise<ChangeResponse> {
+    return await this.#postJson(`/v1/configuration/changes${isDryRun ? '?dryRun=true' : ''}`, change)
   }
 
   /** Workers, backend servers, drains and totals. */
-  async fleet (): Promise<FleetAnswer> {
-    return await this.#get('/v1/fleet')
+  async fleet (): Promise<FleetResponse> {
+    return await this.#getJson('/v1/fleet')
   }
 
   /** Waiting jobs in the order in which they began to wait. */
-  async queue (): Promise<JobsAnswer> {
-    return await this.#get('/v1/queue')
+  async queue (): Promise<JobListResponse> {
+    return await this.#getJson('/v1/queue')
   }
 
   /** What every guarantee holds and lends. */
-  async guarantees (): Promise<readonly GuaranteeAnswer[]> {
-    const { guarantees } = await this.#get<{ guarantees: readonly GuaranteeAnswer[] }>('/v1/guarantees')
+  async guarantees (): Promise<readonly GuaranteeSummary[]> {
+    const { guarantees } = await this.#getJson<{ guarantees: readonly GuaranteeSummary[] }>('/v1/guarantees')
     return guarantees
   }
 
   /** Jobs in order of submission, the first ones where a limit applies. */
-  async jobs (filter: JobFilter = {}): Promise<JobsAnswer> {
+  async jobs (filter: JobFilter = {}): Promise<JobListResponse> {
     const query = new URLSearchParams()
     for (const [name, value] of Object.entries(filter)) {
       if (value !== undefined) query.set(name, String(value))
     }
-    return await this.#get(query.size === 0 ? '/v1/jobs' : `/v1/jobs?${query.toString()}`)
+    return await this.#getJson(query.size === 0 ? '/v1/jobs' : `/v1/jobs?${query.toString()}`)
   }
 
   /** Submits a gang job; its job ID keeps a repeated submission from creating a second job. */
   async submitJob (job: JobSpec): Promise<JobAnswer> {
-    return await this.#post('/v1/jobs', job)
+    return await this.#postJson('/v1/jobs', job)
   }
 
   /** One job. */
   async job (jobId: string): Promise<JobAnswer> {
-    return await this.#get(`/v1/jobs/${encodeURIComponent(jobId)}`)
+    return await this.#getJson(`/v1/jobs/${encodeURIComponent(jobId)}`)
   }
 
   /** Cancels a job; a job that has ended stays as it is. */
   async cancelJob (jobId: string): Promise<JobAnswer> {
-    return await this.#json({ method: 'DELETE', path: `/v1/jobs/${encodeURIComponent(jobId)}`, isSafeToRepeat: true })
+    return await this.#callJson({ method: 'DELETE', path: `/v1/jobs/${encodeURIComponent(jobId)}`, isIdempotent: true })
   }
 
   /** Why a job waits, or how it was placed or refused. */
   async explainJob (jobId: string): Promise<JobExplanation> {
-    return await this.#get(`/v1/jobs/${encodeURIComponent(jobId)}/explanation`)
+    return await this.#getJson(`/v1/jobs/${encodeURIComponent(jobId)}/explanation`)
   }
 
   /** Starts a drain. */
-  async drain (drain: DrainAnswer): Promise<void> {
-    await this.#post('/v1/drains', drain)
+  async drain (drain: Drain): Promise<void> {
+    await this.#postJson('/v1/drains', drain)
   }
 
   /** Ends a drain. */
-  async undrain ({ kind, id }: DrainAnswer): Promise<void> {
-    await this.#json({ method: 'DELETE', path: `/v1/drains/${kind}/${encodeURIComponent(id)}`, isSafeToRepeat: true })
+  async undrain ({ kind, id }: Drain): Promise<void> {
+    await this.#callJson({ method: 'DELETE', path: `/v1/drains/${kind}/${encodeURIComponent(id)}`, isIdempotent: true })
   }
 
   /** Status of the node that answers. */
   async status (): Promise<StatusAnswer> {
-    return await this.#get('/v1/status')
+    return await this.#getJson('/v1/status')
   }
 
   /** Outcome of a non-repeatable request with a key. */
-  async claim (organisationId: string, key: string): Promise<ClaimAnswer> {
-    return await this.#get(`/v1/claims/${encodeURIComponent(organisationId)}/${encodeURIComponent(key)}`)
+  async claim (organisationId: string, key: string): Promise<ClaimResponse> {
+    return await this.#getJson(`/v1/claims/${encodeURIComponent(organisationId)}/${encodeURIComponent(key)}`)
   }
 
   /** Sends a short request. A non-repeatable one without a key is sent to one node, once. */
   async sendRequest (request: ShortRequest): Promise<ShortRequestAnswer> {
-    const isSafeToRepeat = request.repeatability === 'idempotent' || request.idempotencyKey !== undefined
-    const answer = await this.#transport.call({
+    const isIdempotent = request.repeatability === 'idempotent' || request.idempotencyKey !== undefined
+    const response = await this.#transport.send({
       method: 'POST',
       path: `/v1/services/${encodeURIComponent(request.service)}/requests`,
-      headers: shortRequestHeaders(request),
+      headers: toRequestHeaders(request),
       body: request.body,
-      isSafeToRepeat,
+      isIdempotent,
       timeoutMs: request.deadlineMs === undefined ? undefined : request.deadlineMs + DEADLINE_MARGIN_MS
     })
-    const refusal = findRefusal(answer)
+    const refusal = findRefusal(response)
     if (refusal !== undefined) throw new ClientError(refusal)
-    return toShortRequestAnswer(answer)
+    return toShortRequestResponse(response)
   }
 
   /** Closes the connections. */
@@ -147,24 +147,24 @@
     await this.#transport.close()
   }
 
-  async #get<T> (path: string): Promise<T> {
-    return await this.#json({ method: 'GET', path, isSafeToRepeat: true })
+  async #getJson<T> (path: string): Promise<T> {
+    return await this.#callJson({ method: 'GET', path, isIdempotent: true })
   }
 
   /** Every JSON body sent here names its own identity (version, job ID, drained part), so a repeat changes nothing. */
-  async #post<T> (path: string, value: unknown): Promise<T> {
+  async #postJson<T> (path: string, value: unknown): Promise<T> {
     const headers = { 'content-type': 'application/json' }
-    return await this.#json({ method: 'POST', path, headers, body: JSON.stringify(value), isSafeToRepeat: true })
+    return await this.#callJson({ method: 'POST', path, headers, body: JSON.stringify(value), isIdempotent: true })
   }
 
-  async #json<T> (call: NodeCall): Promise<T> {
-    const answer = await this.#transport.call(call)
-    const refusal = findRefusal(answer)
+  async #callJson<T> (call: NodeCall): Promise<T> {
+    const response = await this.#transport.send(call)
+    const refusal = findRefusal(response)
     if (refusal !== undefined) throw new ClientError(refusal)
-    const text = answer.body.toString('utf8')
+    const text = response.body.toString('utf8')
     const value = parseJson(text)
-    if (answer.status >= 300 || value === undefined) {
-      throw new ClientError({ kind: 'unexpected', status: answer.status, detail: text.slice(0, 200) })
+    if (response.status >= 300 || value === undefined) {
+      throw new ClientError({ kind: 'unexpected', status: response.status, detail: text.slice(0, 200) })
     }
     return value as T
   }
@@ -179,7 +179,7 @@
   }
 }
 
-function shortRequestHeaders (request: ShortRequest): Record<string, string> {
+function toRequestHeaders (request: ShortRequest): Record<string, string> {
   const optional = {
     'comfreygrade-deadline-ms': request.deadlineMs,
     'comfreygrade-request-id': request.requestId,
@@ -197,7 +197,7 @@
   return headers
 }
 
-function toShortRequestAnswer ({ status, headers, body }: NodeAnswer): ShortRequestAnswer {
+function toShortRequestResponse ({ status, headers, body }: NodeResponse): ShortRequestAnswer {
   return {
     status,
     contentType: headers['content-type'] ?? '',
--- a/packages/cli/src/node-transport.ts
+++ b/packages/cli/src/node-transport.ts
@@ -9,20 +9,20 @@
   readonly headers?: Readonly<Record<string, string>>
   readonly body?: string | Buffer
   /** Whether a second execution of the same call changes nothing. */
-  readonly isSafeToRepeat: boolean
+  readonly isIdempotent: boolean
   /** Time for one attempt; the transport's own where absent. */
   readonly timeoutMs?: number
 }
 
 /** A complete answer of a node. */
-export interface NodeAnswer {
+export interface NodeResponse {
   readonly status: number
   readonly headers: Readonly<Record<string, string>>
   readonly body: Buffer
 }
 
 type Attempt =
-  | { readonly kind: 'answered', readonly answer: NodeAnswer }
+  | { readonly kind: 'answered', readonly answer: NodeResponse }
   | { readonly kind: 'failed', readonly problem: ClientProblem & { kind: 'unreachable' } }
 
 /** Errors that arise before any byte of a request is sent. */
@@ -33,7 +33,7 @@
  *
  * @example
  * const transport = new NodeTransport(['http://127.0.0.1:8080'], 5_000)
- * await transport.call({ method: 'GET', path: '/v1/status', isSafeToRepeat: true })
+ * await transport.call({ method: 'GET', path: '/v1/status', isIdempotent: true })
  */
 export class NodeTransport {
   readonly #nodes: readonly string[]
@@ -50,18 +50,18 @@
    * Gives the first complete answer that does not advise to repeat the call now; throws a {@link ClientError} where no
    * node gave an answer.
    */
-  async call (call: NodeCall): Promise<NodeAnswer> {
-    let problem: ClientProblem & { kind: 'unreachable' } | undefined
-    let refusal: NodeAnswer | undefined
-    for (const node of this.#targets(call)) {
+  async send (call: NodeCall): Promise<NodeResponse> {
+    let failure: ClientProblem & { kind: 'unreachable' } | undefined
+    let refusal: NodeResponse | undefined
+    for (const node of this.#nodesToTry(call)) {
       const attempt = await this.#attempt(node, call)
-      if (attempt.kind === 'failed') problem = worse(problem, attempt.problem)
-      else if (advisesRepeatNow(attempt.answer)) refusal = attempt.answer
+      if (attempt.kind === 'failed') failure = mergeFailures(failure, attempt.problem)
+      else if (advisesImmediateRetry(attempt.answer)) refusal = attempt.answer
       else return attempt.answer
     }
     // The refusal of one node says nothing of a call that another one may have carried out.
-    if (refusal !== undefined && problem?.progress !== 'maybe_sent') return refusal
-    throw new ClientError(problem ?? { kind: 'unreachable', progress: 'not_sent', detail: 'no node is given' })
+    if (refusal !== undefined && failure?.progress !== 'maybe_sent') return refusal
+    throw new ClientError(failure ?? { kind: 'unreachable', progress: 'not_sent', detail: 'no node is given' })
   }
 
   /** Closes the connections. */
@@ -70,8 +70,8 @@
   }
 
   /** A single node is asked twice, since a lost answer is as likely as a lost node. */
-  #targets ({ isSafeToRepeat }: NodeCall): readonly string[] {
-    if (!isSafeToRepeat) return this.#nodes.slice(0, 1)
+  #nodesToTry ({ isIdempotent }: NodeCall): readonly string[] {
+    if (!isIdempotent) return this.#nodes.slice(0, 1)
     return this.#nodes.length === 1 ? [...this.#nodes, ...this.#nodes] : this.#nodes
   }
 
@@ -79,39 +79,39 @@
     try {
       const signal = AbortSignal.timeout(timeoutMs ?? this.#timeoutMs)
       const response = await request(node + path, { method, headers, body, signal, dispatcher: this.#agent })
-      return { kind: 'answered', answer: await readAnswer(response) }
+      return { kind: 'answered', answer: await readResponse(response) }
     } catch (error) {
-      return { kind: 'failed', problem: toProblem(node, error) }
+      return { kind: 'failed', problem: toUnreachable(node, error) }
     }
   }
 }
 
 /** Reads a refusal out of an answer; undefined where it is not one. */
-export function findRefusal (answer: NodeAnswer): ClientProblem | undefined {
-  if (answer.status < 400) return undefined
-  const body = parseErrorBody(answer.body.toString('utf8'))
-  return body === undefined ? undefined : { kind: 'refused', status: answer.status, body }
+export function findRefusal (response: NodeResponse): ClientProblem | undefined {
+  if (response.status < 400) return undefined
+  const body = parseErrorBody(response.body.toString('utf8'))
+  return body === undefined ? undefined : { kind: 'refused', status: response.status, body }
 }
 
 /** As of a node that is shutting down; another one may take the call. */
-function advisesRepeatNow (answer: NodeAnswer): boolean {
-  const refusal = findRefusal(answer)
+function advisesImmediateRetry (response: NodeResponse): boolean {
+  const refusal = findRefusal(response)
   return refusal?.kind === 'refused' && refusal.body.repeat === 'now'
 }
 
-async function readAnswer (response: Dispatcher.ResponseData): Promise<NodeAnswer> {
+async function readResponse (response: Dispatcher.ResponseData): Promise<NodeResponse> {
   const headers = Object.entries(response.headers).map(([name, value]) => [name, String(value)])
   const body = Buffer.from(await response.body.arrayBuffer())
   return { status: response.statusCode, headers: Object.fromEntries(headers), body }
 }
 
-function toProblem (node: string, error: unknown): ClientProblem & { kind: 'unreachable' } {
+function toUnreachable (node: string, error: unknown): ClientProblem & { kind: 'unreachable' } {
   const { code, message } = error as { code?: unknown, message?: string }
   const progress = NOT_SENT_CODES.has(String(code)) ? 'not_sent' : 'maybe_sent'
   return { kind: 'unreachable', progress, detail: `${node}: ${message ?? String(error)}` }
 }
 
-function worse (
+function mergeFailures (
   earlier: ClientProblem & { kind: 'unreachable' } | undefined,
   later: ClientProblem & { kind: 'unreachable' }
 ): ClientProblem & { kind: 'unreachable' } {
--- a/packages/cli/src/output.ts
+++ b/packages/cli/src/output.ts
@@ -16,35 +16,35 @@
   }
 
   /** Writes a result; `render` gives the text for people. */
-  abstract show (value: unknown, render: () => string): void
+  abstract writeResult (value: unknown, render: () => string): void
 
   /** Writes a problem; `value` is its form for programs. */
-  abstract problem (value: unknown, text: string): void
+  abstract writeProblem (value: unknown, text: string): void
 
   /** Writes a remark that belongs to no result. */
-  note (text: string): void {
+  writeNote (text: string): void {
     this.streams.writeError(`${text}\n`)
   }
 }
 
 /** Tables and sentences. */
 export class TextOutput extends Output {
-  override show (_value: unknown, render: () => string): void {
+  override writeResult (_value: unknown, render: () => string): void {
     this.streams.write(`${render()}\n`)
   }
 
-  override problem (_value: unknown, text: string): void {
-    this.note(text)
+  override writeProblem (_value: unknown, text: string): void {
+    this.writeNote(text)
   }
 }
 
 /** One JSON value per line. */
 export class JsonOutput extends Output {
-  override show (value: unknown): void {
+  override writeResult (value: unknown): void {
     this.streams.write(`${JSON.stringify(value)}\n`)
   }
 
-  override problem (value: unknown): void {
-    this.note(JSON.stringify(value))
+  override writeProblem (value: unknown): void {
+    this.writeNote(JSON.stringify(value))
   }
 }
--- a/packages/cli/src/request-commands.ts
+++ b/packages/cli/src/request-commands.ts
@@ -1,6 +1,6 @@
 /** `request SERVICE` and `claim ORG KEY`. */
-import type { ClaimAnswer, ShortRequestAnswer } from './api-types.js'
-import { Command, type CommandContext, ShowCommand } from './command.js'
+import type { ClaimResponse, ShortRequestAnswer } from './api-types.js'
+import { Command, type CommandContext, SingleCallCommand } from './command.js'
 import type { ExitReason } from './exit.js'
 import type { ShortRequest } from './node-client.js'
 import { renderFields } from './tables.js'
@@ -13,33 +13,33 @@
   override readonly summary = 'send a short request with the body from stdin; needs --organisation'
 
   override async run (context: CommandContext): Promise<ExitReason> {
-    const { client, output, streams, options, values } = context
+    const { client, output, streams, options, args } = context
     if (options.organisation === undefined) {
-      output.problem({ option: 'organisation' }, '--organisation: found nothing, allowed an organisation ID')
+      output.writeProblem({ option: 'organisation' }, '--organisation: found nothing, allowed an organisation ID')
       return 'usage'
     }
-    const request = buildRequest(context, values[0] ?? '', options.organisation, await streams.readStdin())
+    const request = buildRequest(context, args[0] ?? '', options.organisation, await streams.readStdin())
     // The key is needed to ask for the outcome, so it is written before anything can go wrong.
-    if (request.idempotencyKey !== undefined) output.note(`idempotency-key: ${request.idempotencyKey}`)
-    const answer = await client.sendRequest(request)
-    if (options.json) output.show(toJson(answer), () => '')
-    else showAnswer(context, answer)
-    return answer.status < 400 ? 'done' : 'refused'
+    if (request.idempotencyKey !== undefined) output.writeNote(`idempotency-key: ${request.idempotencyKey}`)
+    const response = await client.sendRequest(request)
+    if (options.json) output.writeResult(toJson(response), () => '')
+    else writeResponse(context, response)
+    return response.status < 400 ? 'done' : 'refused'
   }
 }
 
 /** `claim ORG KEY`. */
-export class ClaimCommand extends ShowCommand<ClaimAnswer> {
+export class ClaimCommand extends SingleCallCommand<ClaimResponse> {
   override readonly words = ['claim']
   override readonly parameters = ['ORG', 'KEY']
   override readonly summary = 'show the outcome of a non-repeatable request'
 
-  protected override async fetch ({ client, values }: CommandContext): Promise<ClaimAnswer> {
-    const [organisationId = '', key = ''] = values
+  protected override async fetch ({ client, args }: CommandContext): Promise<ClaimResponse> {
+    const [organisationId = '', key = ''] = args
     return await client.claim(organisationId, key)
   }
 
-  protected override render (claim: ClaimAnswer): string {
+  protected override render (claim: ClaimResponse): string {
     return renderFields({ ...claim })
   }
 }
@@ -61,10 +61,10 @@
   }
 }
 
-function showAnswer ({ output, streams }: CommandContext, answer: ShortRequestAnswer): void {
-  streams.write(answer.body)
-  const { status, requestId, attempts, claim } = answer
-  output.note(`status ${status}, request ${requestId}, attempts ${attempts}, claim ${claim}`)
+function writeResponse ({ output, streams }: CommandContext, response: ShortRequestAnswer): void {
+  streams.write(response.body)
+  const { status, requestId, attempts, claim } = response
+  output.writeNote(`status ${status}, request ${requestId}, attempts ${attempts}, claim ${claim}`)
 }
 
 function toJson ({ body, ...rest }: ShortRequestAnswer): object {
--- a/packages/cli/src/uuid-v7.ts
+++ b/packages/cli/src/uuid-v7.ts
@@ -6,9 +6,9 @@
  * @example
  * uuidV7(Date.now()) // '0193a5e0-…-7…-…'
  */
-export function uuidV7 (issuedWallMs: number): string {
+export function uuidV7 (unixTimeMs: number): string {
   const bytes = randomBytes(16)
-  bytes.writeUIntBE(issuedWallMs, 0, 6)
+  bytes.writeUIntBE(unixTimeMs, 0, 6)
   bytes.writeUInt8((bytes.readUInt8(6) & 0x0f) | 0x70, 6)
   bytes.writeUInt8((bytes.readUInt8(8) & 0x3f) | 0x80, 8)
   const hex = bytes.toString('hex')
--- a/packages/cli/test/command-line.test.ts
+++ b/packages/cli/test/command-line.test.ts
@@ -6,16 +6,16 @@
   type ConfigurationChange, type ConfigurationDocument, emptyConfiguration, toDocument
 } from '@comfreygrade/core'
 import { exitCodes } from '../src/index.js'
-import { type Call, FakeNode, refusal, run } from './fake-node.js'
+import { errorReply, FakeNode, type RecordedCall, runCommand } from './fake-node.js'
 
 const CHANGES = 'POST /v1/configuration/changes'
 
-const wanted: ConfigurationDocument = {
+const desiredDocument: ConfigurationDocument = {
   ...toDocument(emptyConfiguration()),
   organisations: [{ organisationId: 'o1', quotaAccelerators: 8, weight: 1 }]
 }
 
-async function fileOf (t: ExecutionContext, value: unknown): Promise<string> {
+async function writeTempFile (t: ExecutionContext, value: unknown): Promise<string> {
   const folder = await mkdtemp(join(tmpdir(), 'comfreygrade-cli-'))
   t.teardown(async () => await rm(folder, { recursive: true }))
   const file = join(folder, 'input.yaml')
@@ -24,13 +24,13 @@
 }
 
 /** A node with a configuration; a change is accepted at the version in force, and again with the same content. */
-async function startNode (version = 0, document = toDocument(emptyConfiguration())): Promise<FakeNode> {
+async function startNodeWithConfiguration (version = 0, document = toDocument(emptyConfiguration())): Promise<FakeNode> {
   const node = await new FakeNode().start()
   let accepted = ''
-  node.on('GET /v1/configuration', { version, document })
-  node.replies.set(CHANGES, (call: Call) => {
+  node.respondWith('GET /v1/configuration', { version, document })
+  node.replyHandlers.set(CHANGES, (call: RecordedCall) => {
     const change = JSON.parse(call.text) as ConfigurationChange
-    if (accepted !== '' && accepted !== call.text) return refusal({ kind: 'version_conflict', detail: 'version 1' })
+    if (accepted !== '' && accepted !== call.text) return errorReply({ kind: 'version_conflict', detail: 'version 1' })
     accepted = call.text
     return { status: 200, body: { version: change.version, isDryRun: false } }
   })
@@ -38,89 +38,89 @@
 }
 
 test('a lost answer of apply is recovered by the same change, so that no second version is made', async t => {
-  const node = await startNode()
-  const file = await fileOf(t, wanted)
-  const accept = node.replies.get(CHANGES) ?? (() => refusal({ kind: 'not_found', detail: '' }))
+  const node = await startNodeWithConfiguration()
+  const file = await writeTempFile(t, desiredDocument)
+  const accept = node.replyHandlers.get(CHANGES) ?? (() => errorReply({ kind: 'not_found', detail: '' }))
   let losses = 1
-  node.replies.set(CHANGES, call => {
-    node.answersToLose = losses--
+  node.replyHandlers.set(CHANGES, call => {
+    node.responsesToDrop = losses--
     return accept(call)
   })
-  const { reason, out } = await run([node.address], ['config', 'apply', file, '--json'])
+  const { reason, stdout } = await runCommand([node.address], ['config', 'apply', file, '--json'])
   t.is(reason, 'done')
-  t.deepEqual(JSON.parse(out), { version: 1, changedRecords: 1 })
+  t.deepEqual(JSON.parse(stdout), { version: 1, changedRecords: 1 })
   const [first, second] = node.calls.filter(call => call.route === CHANGES)
   t.is(first?.text, second?.text)
   node.stop()
 })
 
 test('apply of what is in force sends nothing, so that running it again makes no version', async t => {
-  const node = await startNode(4, wanted)
-  const { reason, out } = await run([node.address], ['config', 'apply', await fileOf(t, wanted)])
+  const node = await startNodeWithConfiguration(4, desiredDocument)
+  const { reason, stdout } = await runCommand([node.address], ['config', 'apply', await writeTempFile(t, desiredDocument)])
   t.is(reason, 'done')
-  t.is(out, 'nothing to change, version 4 is in force\n')
+  t.is(stdout, 'nothing to change, version 4 is in force\n')
   t.deepEqual(node.routes(), ['GET /v1/configuration'])
   node.stop()
 })
 
 test('a version conflict shows what is in force, so that a racing operator sees what the file would undo', async t => {
-  const node = await startNode()
-  node.replies.set(CHANGES, () => {
-    node.on('GET /v1/configuration', { version: 1, document: { ...wanted, organisations: [] } })
-    return refusal({ kind: 'version_conflict', detail: 'version 1 has other content' })
+  const node = await startNodeWithConfiguration()
+  node.replyHandlers.set(CHANGES, () => {
+    node.respondWith('GET /v1/configuration', { version: 1, document: { ...desiredDocument, organisations: [] } })
+    return errorReply({ kind: 'version_conflict', detail: 'version 1 has other content' })
   })
-  const { reason, problems } = await run([node.address], ['config', 'apply', await fileOf(t, wanted)])
+  const { reason, stderr } = await runCommand([node.address], ['config', 'apply', await writeTempFile(t, desiredDocument)])
   t.is(exitCodes[reason], 3)
-  t.regex(problems, /version_conflict: version 1 has other content/)
-  t.regex(problems, /version 1 is in force/)
-  t.regex(problems, /add +│ organisation +│ o1/)
+  t.regex(stderr, /version_conflict: version 1 has other content/)
+  t.regex(stderr, /version 1 is in force/)
+  t.regex(stderr, /add +│ organisation +│ o1/)
   node.stop()
 })
 
 test('an invalid file never reaches a node and ends with code 2', async t => {
-  const node = await startNode()
-  const { reason, problems } = await run([node.address], ['config', 'apply', await fileOf(t, 'racks: 3'), '--json'])
+  const node = await startNodeWithConfiguration()
+  const { reason, stderr } = await runCommand([node.address], ['config', 'apply', await writeTempFile(t, 'racks: 3'), '--json'])
   t.is(exitCodes[reason], 2)
-  t.is((JSON.parse(problems) as { problems: unknown[] }).problems.length, 5)
+  t.is((JSON.parse(stderr) as { problems: unknown[] }).problems.length, 5)
   t.deepEqual(node.calls, [])
   node.stop()
 })
 
 test('diff asks whether the change would be accepted without applying it', async t => {
-  const node = await startNode()
-  node.replies.set(`${CHANGES}?dryRun=true`, () => refusal({ kind: 'guarantee_unsatisfiable', detail: '1 cell' }))
-  const { reason, out, problems } = await run([node.address], ['config', 'diff', await fileOf(t, wanted)])
+  const node = await startNodeWithConfiguration()
+  node.replyHandlers.set(`${CHANGES}?dryRun=true`, () => errorReply({ kind: 'guarantee_unsatisfiable', detail: '1 cell' }))
+  const { reason, stdout, stderr } = await runCommand([node.address], ['config', 'diff', await writeTempFile(t, desiredDocument)])
   t.is(exitCodes[reason], 1)
-  t.regex(out, /quotaAccelerators=8/)
-  t.regex(problems, /guarantee_unsatisfiable: 1 cell \(outcome: not_run, repeat: never\)/)
+  t.regex(stdout, /quotaAccelerators=8/)
+  t.regex(stderr, /guarantee_unsatisfiable: 1 cell \(outcome: not_run, repeat: never\)/)
   t.false(node.routes().includes(CHANGES))
   node.stop()
 })
 
 test('unreachable nodes end with code 4, so that scripts can tell them from a refusal', async t => {
-  const { reason, problems } = await run(['http://127.0.0.1:9'], ['fleet'])
+  const { reason, stderr } = await runCommand(['http://127.0.0.1:9'], ['fleet'])
   t.is(exitCodes[reason], 4)
-  t.regex(problems, /no node could be reached/)
+  t.regex(stderr, /no node could be reached/)
 })
 
 test('usage errors end with code 2 before any call', async t => {
   for (const argv of [['job'], ['config', 'apply'], ['drain', 'rack', 'r1'], ['fleet', '--limit', '0']]) {
-    t.is(exitCodes[(await run(['http://127.0.0.1:9'], argv)).reason], 2)
+    t.is(exitCodes[(await runCommand(['http://127.0.0.1:9'], argv)).reason], 2)
   }
 })
 
 test('a job from stdin is submitted once more with the same ID when the answer is lost', async t => {
   const node = await new FakeNode().start()
-  node.replies.set('POST /v1/jobs', call => {
+  node.replyHandlers.set('POST /v1/jobs', call => {
     const spec = JSON.parse(call.text)
     return { status: 201, body: { spec, phase: 'waiting' } }
   })
-  node.answersToLose = 1
+  node.responsesToDrop = 1
   const job = `{ organisationId: o, jobClass: nightly, tasks: 2, acceleratorModel: gpu, acceleratorsPerTask: 8, coresPerTask: 1,
     memoryGbPerTask: 1, adjacency: rack, declaredRunMs: 1000, priority: normal, preemption: repeat }`
-  const { reason, out } = await run([node.address], ['job', 'submit', '-'], job)
+  const { reason, stdout } = await runCommand([node.address], ['job', 'submit', '-'], job)
   t.is(reason, 'done')
-  t.regex(out, /^job nightly-[0-9a-f]+ is waiting\n$/)
+  t.regex(stdout, /^job nightly-[0-9a-f]+ is waiting\n$/)
   t.is(node.calls[0]?.text, node.calls[1]?.text)
   node.stop()
 })
@@ -128,24 +128,24 @@
 test('watch prints each phase once and ends with code 1 for a job that did not complete', async t => {
   const node = await new FakeNode().start()
   const phases = ['waiting', 'waiting', 'running', 'ended']
-  node.replies.set('GET /v1/jobs/j1', () => {
+  node.replyHandlers.set('GET /v1/jobs/j1', () => {
     const phase = phases.shift()
     return { status: 200, body: { phase, outcome: phase === 'ended' ? 'failed' : null, detail: 'x' } }
   })
-  const { reason, out } = await run([node.address], ['job', 'watch', 'j1', '--interval-ms', '1'])
+  const { reason, stdout } = await runCommand([node.address], ['job', 'watch', 'j1', '--interval-ms', '1'])
   t.is(exitCodes[reason], 1)
-  t.is(out, 'waiting: x\nrunning: x\nended as failed: x\n')
+  t.is(stdout, 'waiting: x\nrunning: x\nended as failed: x\n')
   node.stop()
 })
 
 test('a request passes the body unchanged and prints the key first, so that its outcome can be asked for', async t => {
   const node = await new FakeNode().start()
-  node.replies.set('POST /v1/services/charge/requests', call => ({ status: 200, body: `<${call.text}>` }))
+  node.replyHandlers.set('POST /v1/services/charge/requests', call => ({ status: 200, body: `<${call.text}>` }))
   const argv = ['request', 'charge', '--organisation', 'o1', '--non-repeatable']
-  const { reason, out, problems } = await run([node.address], argv, 'page 1')
+  const { reason, stdout, stderr } = await runCommand([node.address], argv, 'page 1')
   t.is(reason, 'done')
-  t.is(out, '<page 1>')
-  t.regex(problems, /^idempotency-key: [0-9a-f]{8}-[0-9a-f]{4}-7/)
+  t.is(stdout, '<page 1>')
+  t.regex(stderr, /^idempotency-key: [0-9a-f]{8}-[0-9a-f]{4}-7/)
   t.is(node.calls[0]?.headers['comfreygrade-repeatable'], 'non-repeatable')
   node.stop()
 })
@@ -157,10 +157,10 @@
   const report = { accelerators: 8, fragmentation: 0.25, guarantees: [guarantee], quarantinedWorkerIds: ['w2'] }
   const workers = [{ workerId: 'w1', state: 'active', address: 'http://127.0.0.1:1', tasks: 1 }]
   const node = await new FakeNode().start()
-  node.on('GET /v1/fleet', { report, workers, drains: [], backendServers: [] })
-    .on('GET /v1/guarantees', { guarantees: [guarantee] })
-  t.regex((await run([node.address], ['fleet'])).out, /fragmentation +│ 0\.25[^]*w1 +│ active/)
-  t.regex((await run([node.address], ['guarantees'])).out, /g1 +│ o1 +│ 4 gpu +│ 2 +│ 1/)
-  t.deepEqual(JSON.parse((await run([node.address], ['fleet', '--json'])).out).report, report)
+  node.respondWith('GET /v1/fleet', { report, workers, drains: [], backendServers: [] })
+    .respondWith('GET /v1/guarantees', { guarantees: [guarantee] })
+  t.regex((await runCommand([node.address], ['fleet'])).stdout, /fragmentation +│ 0\.25[^]*w1 +│ active/)
+  t.regex((await runCommand([node.address], ['guarantees'])).stdout, /g1 +│ o1 +│ 4 gpu +│ 2 +│ 1/)
+  t.deepEqual(JSON.parse((await runCommand([node.address], ['fleet', '--json'])).stdout).report, report)
   node.stop()
 })
--- a/packages/cli/test/fake-node.ts
+++ b/packages/cli/test/fake-node.ts
@@ -5,20 +5,20 @@
 import { errorBody, errorTable, type Failure } from '@comfreygrade/core'
 import { type ExitReason, runCommandLine } from '../src/index.js'
 
-export interface Call { route: string, headers: IncomingMessage['headers'], text: string }
+export interface RecordedCall { route: string, headers: IncomingMessage['headers'], text: string }
 
 export interface Reply { status: number, body: unknown, headers?: Record<string, string> }
 
-export function refusal (failure: Failure): Reply {
+export function errorReply (failure: Failure): Reply {
   return { status: errorTable[failure.kind].httpStatus, body: errorBody(failure) }
 }
 
 export class FakeNode {
-  readonly calls: Call[] = []
+  readonly calls: RecordedCall[] = []
   /** Answers by `METHOD path`; a call without one is answered with `not_found`. */
-  readonly replies = new Map<string, (call: Call) => Reply>()
+  readonly replyHandlers = new Map<string, (call: RecordedCall) => Reply>()
   /** Calls that are carried out but whose connection is cut before the answer. */
-  answersToLose = 0
+  responsesToDrop = 0
   readonly #server = createServer((request, response) => { this.#handle(request, response).catch(() => {}) })
 
   get address (): string {
@@ -36,8 +36,8 @@
     this.#server.closeAllConnections()
   }
 
-  on (route: string, body: unknown, status = 200, headers?: Record<string, string>): this {
-    this.replies.set(route, () => ({ status, body, headers }))
+  respondWith (route: string, body: unknown, status = 200, headers?: Record<string, string>): this {
+    this.replyHandlers.set(route, () => ({ status, body, headers }))
     return this
   }
 
@@ -50,8 +50,8 @@
     for await (const chunk of request) text += String(chunk)
     const call = { route: `${request.method} ${request.url}`, headers: request.headers, text }
     this.calls.push(call)
-    const reply = this.replies.get(call.route)?.(call) ?? refusal({ kind: 'not_found', detail: call.route })
-    if (this.answersToLose-- > 0) {
+    const reply = this.replyHandlers.get(call.route)?.(call) ?? errorReply({ kind: 'not_found', detail: call.route })
+    if (this.responsesToDrop-- > 0) {
       request.socket.destroy()
       return
     }
@@ -60,16 +60,16 @@
   }
 }
 
-export interface Run { reason: ExitReason, out: string, problems: string }
+export interface CommandResult { reason: ExitReason, stdout: string, stderr: string }
 
 /** Runs a command line against nodes and collects what it writes. */
-export async function run (nodes: readonly string[], argv: readonly string[], stdin = ''): Promise<Run> {
-  let out = ''
-  let problems = ''
+export async function runCommand (nodes: readonly string[], argv: readonly string[], stdin = ''): Promise<CommandResult> {
+  let stdout = ''
+  let stderr = ''
   const reason = await runCommandLine([...argv, ...nodes.flatMap(node => ['--node', node])], {
     readStdin: async () => Buffer.from(stdin),
-    write: text => { out += String(text) },
-    writeError: text => { problems += text }
+    write: text => { stdout += String(text) },
+    writeError: text => { stderr += text }
   })
-  return { reason, out, problems }
+  return { reason, stdout, stderr }
 }
--- a/packages/cli/test/files.test.ts
+++ b/packages/cli/test/files.test.ts
@@ -6,7 +6,7 @@
 const worker = (id: string, rack: string, position: number) =>
   `  - { workerId: ${id}, rackId: ${rack}, rackPosition: ${position}, cores: 64, memoryGb: 256, acceleratorModel: gpu, accelerators: 8 }`
 
-function problemsOf (text: string): string[] {
+function formatProblems (text: string): string[] {
   const reading = readConfigurationFile('f.yaml', text)
   return reading.kind === 'valid' ? [] : reading.problems.map(formatFileProblem)
 }
@@ -25,7 +25,7 @@
 organisations: []
 guarantees: []
 `
-  t.deepEqual(problemsOf(text), [
+  t.deepEqual(formatProblems(text), [
     'f.yaml:1: rules: found nothing, allowed a value of type object',
     'f.yaml:5: workers[0].rackPosition: found 0.5, allowed a whole number',
     'f.yaml:6: workers[0].cores: found "many", allowed a value of type number',
@@ -47,7 +47,7 @@
   - { guaranteeId: g, organisationId: o, acceleratorModel: gpu, acceleratorsPerCell: 8, cells: 1 }
 ${rules}
 `
-  t.deepEqual(problemsOf(text), [
+  t.deepEqual(formatProblems(text), [
     'f.yaml:5: workers[1].workerId: found w1 again, allowed one; workers[0] has it',
     'f.yaml:5: workers[1].rackId: found "r9", allowed a rackId of racks',
     'f.yaml:6: workers[2].rackPosition: found 0 of rack r1 again, allowed one; workers[0] has it',
@@ -56,7 +56,7 @@
 })
 
 test('a syntax error names its line, so that a file is never half read', t => {
-  const [problem] = problemsOf('racks: []\nworkers: [\n')
+  const [problem] = formatProblems('racks: []\nworkers: [\n')
   t.regex(problem ?? '', /^f\.yaml:\d: found .*allowed valid YAML/)
 })
 
--- a/packages/documents/src/yaml-file.ts
+++ b/packages/documents/src/yaml-file.ts
@@ -31,7 +31,7 @@
 export const UNKNOWN_FIELD = 'an unknown field'
 
 /** Longest piece of a found value that is shown. */
-const MAX_FOUND_CHARACTERS = 80
+const MAX_FOUND_VALUE_CHARACTERS = 80
 
 /**
  * Checks a text against a schema, then by `check`, which sees only values that have the right shape.
@@ -44,12 +44,12 @@
 ): FileReading<T> {
   const lineCounter = new LineCounter()
   const document = parseDocument(text, { lineCounter })
-  if (document.errors.length > 0) return { kind: 'invalid', problems: syntaxProblems(file, text, document) }
+  if (document.errors.length > 0) return { kind: 'invalid', problems: toSyntaxProblems(file, text, document) }
   const data: unknown = document.toJS()
   const parsed = schema.safeParse(data)
-  const found = parsed.success ? check(parsed.data) : parsed.error.issues.flatMap(issue => explain(issue, data, schema))
-  const problems = found.map(({ path, ...problem }) => (
-    { file, line: lineOf(document, lineCounter, path), field: formatPath(path), ...problem }))
+  const fieldProblems = parsed.success ? check(parsed.data) : parsed.error.issues.flatMap(issue => toFieldProblems(issue, data, schema))
+  const problems = fieldProblems.map(({ path, ...problem }) => (
+    { file, line: findLine(document, lineCounter, path), field: formatPath(path), ...problem }))
   if (parsed.success && problems.length === 0) return { kind: 'valid', value: parsed.data }
   return { kind: 'invalid', problems: problems.sort((left, right) => left.line - right.line) }
 }
@@ -64,27 +64,27 @@
   return `${file}:${line}: ${field === '' ? '' : `${field}: `}found ${found}, allowed ${allowed}`
 }
 
-function syntaxProblems (file: string, text: string, document: Document): FileProblem[] {
+function toSyntaxProblems (file: string, text: string, document: Document): FileProblem[] {
   const lines = text.split('\n')
   return document.errors.map(error => {
     const line = error.linePos?.[0].line ?? 1
     const allowed = `valid YAML (${error.message.split('\n')[0]?.replace(/ at line \d+, column \d+:?$/, '') ?? ''})`
-    return { file, line, field: '', found: describe(lines[line - 1]), allowed }
+    return { file, line, field: '', found: formatFoundValue(lines[line - 1]), allowed }
   })
 }
 
 type Issue = z.core.$ZodIssue
 
-function explain (issue: Issue, data: unknown, schema: z.ZodType): FieldProblem[] {
+function toFieldProblems (issue: Issue, data: unknown, schema: z.ZodType): FieldProblem[] {
   const path = issue.path.map(step => typeof step === 'symbol' ? String(step) : step)
   if (issue.code === 'unrecognized_keys') {
-    const allowed = `the fields ${knownFields(schema, path).join(', ')}`
+    const allowed = `the fields ${findKnownFields(schema, path).join(', ')}`
     return issue.keys.map(key => ({ path: [...path, key], found: UNKNOWN_FIELD, allowed }))
   }
-  return [{ path, found: describe(valueAt(data, path)), allowed: describeAllowed(issue) }]
+  return [{ path, found: formatFoundValue(findValue(data, path)), allowed: describeAllowedValue(issue) }]
 }
 
-function describeAllowed (issue: Issue): string {
+function describeAllowedValue (issue: Issue): string {
   switch (issue.code) {
     case 'invalid_type': return issue.expected === 'int' ? 'a whole number' : `a value of type ${issue.expected}`
     case 'too_small': return `at least ${issue.minimum}`
@@ -99,31 +99,31 @@
 }
 
 /** Follows a path through object and array schemas to the fields that are allowed there. */
-function knownFields (schema: z.ZodType, path: FieldPath): string[] {
-  let current = unwrap(schema)
+function findKnownFields (schema: z.ZodType, path: FieldPath): string[] {
+  let current = unwrapSchema(schema)
   for (const step of path) {
-    if (current instanceof z.ZodArray) current = unwrap(current.element)
-    else if (current instanceof z.ZodObject) current = unwrap((current.shape as Record<string, unknown>)[step])
+    if (current instanceof z.ZodArray) current = unwrapSchema(current.element)
+    else if (current instanceof z.ZodObject) current = unwrapSchema((current.shape as Record<string, unknown>)[step])
   }
   return current instanceof z.ZodObject ? Object.keys(current.shape) : []
 }
 
 /** The schema behind defaults, which does not have its own fields. */
-function unwrap (schema: unknown): unknown {
+function unwrapSchema (schema: unknown): unknown {
   const isWrapped = schema instanceof z.ZodOptional || schema instanceof z.ZodDefault || schema instanceof z.ZodPrefault
-  return isWrapped ? unwrap(schema.unwrap()) : schema
+  return isWrapped ? unwrapSchema(schema.unwrap()) : schema
 }
 
-function valueAt (data: unknown, path: FieldPath): unknown {
+function findValue (data: unknown, path: FieldPath): unknown {
   let value = data
   for (const step of path) value = (value as Record<string | number, unknown> | null | undefined)?.[step]
   return value
 }
 
-function describe (value: unknown): string {
+function formatFoundValue (value: unknown): string {
   if (value === undefined) return 'nothing'
   const text = typeof value === 'string' ? `"${value}"` : JSON.stringify(value)
-  return text.length <= MAX_FOUND_CHARACTERS ? text : `${text.slice(0, MAX_FOUND_CHARACTERS)}…`
+  return text.length <= MAX_FOUND_VALUE_CHARACTERS ? text : `${text.slice(0, MAX_FOUND_VALUE_CHARACTERS)}…`
 }
 
 function formatPath (path: FieldPath): string {
@@ -131,15 +131,15 @@
 }
 
 /** A field that is missing has no line of its own, so the nearest enclosing value gives it. */
-function lineOf (document: Document, lineCounter: LineCounter, path: FieldPath): number {
+function findLine (document: Document, lineCounter: LineCounter, path: FieldPath): number {
   for (let depth = path.length; depth >= 0; depth--) {
-    const offset = offsetOf(document, path.slice(0, depth))
+    const offset = findOffset(document, path.slice(0, depth))
     if (offset !== undefined) return lineCounter.linePos(offset).line
   }
   return 1
 }
 
-function offsetOf (document: Document, path: FieldPath): number | undefined {
+function findOffset (document: Document, path: FieldPath): number | undefined {
   const key = path.at(-1)
   const parent = path.length === 0 ? undefined : document.getIn(path.slice(0, -1), true)
   if (isMap(parent)) {
--- a/packages/documents/test/yaml-file.test.ts
+++ b/packages/documents/test/yaml-file.test.ts
@@ -8,18 +8,18 @@
   name: z.string().regex(/^[a-z]+$/, 'small letters').optional()
 })
 
-function problemsOf (text: string): string[] {
+function formatProblems (text: string): string[] {
   const reading = readYaml('f.yaml', text, schema, () => [])
   return reading.kind === 'valid' ? [] : reading.problems.map(formatFileProblem)
 }
 
 test('an unknown field of a section with defaults is refused with the fields that the section has', t => {
-  t.deepEqual(problemsOf('limits:\n  maxBytez: 7\n'),
+  t.deepEqual(formatProblems('limits:\n  maxBytez: 7\n'),
     ['f.yaml:2: limits.maxBytez: found an unknown field, allowed the fields maxBytes, address'])
 })
 
 test('a value of a wrong format says what is allowed in words, so that it can be mended without the code', t => {
-  t.deepEqual(problemsOf('limits: { address: nowhere }\nhosts:\n  - 127.0.0.1\n  - localhost\nname: N1\n'), [
+  t.deepEqual(formatProblems('limits: { address: nowhere }\nhosts:\n  - 127.0.0.1\n  - localhost\nname: N1\n'), [
     'f.yaml:1: limits.address: found "nowhere", allowed text of the format url',
     'f.yaml:4: hosts[1]: found "localhost", allowed an IP address',
     'f.yaml:5: name: found "N1", allowed small letters'
