--- a/packages/cli/src/api-types.ts
+++ b/packages/cli/src/api-types.ts
@@ -1,21 +1,24 @@
-/** Bodies of the node's answers as they travel; see docs/api.md. Kept apart from `control`, as any client is. */
+/**
+ * Request and response bodies of the node's HTTP API (docs/api.md). Like any other client, the command line has its own
+ * types instead of importing those of `control`.
+ */
 import type {
   BackendServerRecord, ConfigurationDocument, JobOutcome, JobPhase, JobSpec, Placement, WorkerState
 } from '@comfreygrade/core'
 
-/** Answer of `GET /v1/configuration`. */
+/** Response of `GET /v1/configuration`. */
 export interface ConfigurationResponse {
   readonly version: number
   readonly document: ConfigurationDocument
 }
 
-/** Answer of `POST /v1/configuration/changes`. */
+/** Response of `POST /v1/configuration/changes`. */
 export interface ChangeResponse {
   readonly version: number
   readonly isDryRun: boolean
 }
 
-/** Answer of `GET /v1/configuration/status`. */
+/** Response of `GET /v1/configuration/status`. */
 export interface ConfigurationStatusResponse {
   readonly version: number
   readonly isInForceEverywhere: boolean
@@ -26,7 +29,7 @@
   }>
 }
 
-/** A job as callers see it. */
+/** A job as the API reports it. */
 export interface JobAnswer {
   readonly spec: JobSpec
   readonly phase: JobPhase
@@ -38,13 +41,13 @@
   readonly changedLogMs: number
 }
 
-/** Answer of `GET /v1/jobs` and `GET /v1/queue`; `total` counts what the limit left out too. */
+/** Response of `GET /v1/jobs` and `GET /v1/queue`; `total` includes the jobs beyond the limit. */
 export interface JobListResponse {
   readonly jobs: readonly JobAnswer[]
   readonly total: number
 }
 
-/** What an organisation's guarantee holds and lends. */
+/** Usage of a capacity guarantee: its cells, those in use, and the accelerators lent to other organisations. */
 export interface GuaranteeSummary {
   readonly guaranteeId: string
   readonly organisationId: string
@@ -56,7 +59,7 @@
   readonly missingCells: number
 }
 
-/** Totals of the fleet. */
+/** Totals over all workers, and the usage of every guarantee. */
 export interface FleetSummary {
   readonly accelerators: number
   readonly acceleratorsInUse: number
@@ -69,7 +72,7 @@
   readonly drainingWorkerIds: readonly string[]
 }
 
-/** A worker as operators see it. */
+/** A worker in the response of `GET /v1/fleet`. */
 export interface WorkerSummary {
   readonly workerId: string
   readonly state: WorkerState
@@ -77,19 +80,18 @@
   readonly tasks: number
 }
 
-/** What can be drained. */
+/** Kinds of resources that can be drained. */
 export const drainKinds = ['vm', 'worker', 'backend-server'] as const
 
-/** Kind of a drained part. */
 export type DrainKind = typeof drainKinds[number]
 
-/** A drain that an operator asked for. */
+/** A resource that an operator has drained. */
 export interface Drain {
   readonly kind: DrainKind
   readonly id: string
 }
 
-/** Answer of `GET /v1/fleet`. */
+/** Response of `GET /v1/fleet`. */
 export interface FleetResponse {
   readonly report: FleetSummary
   readonly workers: readonly WorkerSummary[]
@@ -97,7 +99,7 @@
   readonly backendServers: readonly BackendServerRecord[]
 }
 
-/** Answer of `GET /v1/claims/{organisation}/{key}`; the body of the recorded answer is base64. */
+/** Response of `GET /v1/claims/{organisation}/{key}`; the body of the recorded response is base64. */
 export interface ClaimResponse {
   readonly organisationId: string
   readonly key: string
@@ -105,7 +107,7 @@
   readonly answer: { readonly status: number, readonly contentType: string, readonly body: string } | null
 }
 
-/** Answer of `GET /v1/status`: values by name, nested objects allowed. */
+/** Response of `GET /v1/status`. */
 export interface StatusAnswer {
   readonly nodeId: string
   readonly region: string
@@ -130,7 +132,7 @@
   readonly counters: Readonly<Record<string, number>>
 }
 
-/** Answer to a short request: the backend server's answer and what the system adds in headers. */
+/** Response to a short request: the backend server's response and the values of the node's own headers. */
 export interface ShortRequestAnswer {
   readonly status: number
   readonly contentType: string
--- a/packages/cli/src/client-error.ts
+++ b/packages/cli/src/client-error.ts
@@ -1,16 +1,16 @@
-/** What can go wrong between a client and a node. */
+/** Errors of calls to a node. */
 import { type ErrorBody, errorTable } from '@comfreygrade/core'
 
-/** Why a call has no answer to show. */
+/** Why a call failed. */
 export type ClientProblem =
   | { readonly kind: 'refused', readonly status: number, readonly body: ErrorBody }
-  /** No node could be reached; `maybe_sent` means that a node may have done what was asked. */
+  /** No node responded; `maybe_sent` means that a node may have executed the call. */
   | { readonly kind: 'unreachable', readonly progress: 'not_sent' | 'maybe_sent', readonly detail: string }
-  /** An answer that no node gives, for example of another server on the same port. */
+  /** A response that a node never sends, for example from another server on the same port. */
   | { readonly kind: 'unexpected', readonly status: number, readonly detail: string }
 
 /**
- * Carries a {@link ClientProblem}.
+ * Thrown when a call to the API fails; `problem` says why.
  *
  * @example
  * if (error instanceof ClientError && error.problem.kind === 'refused') console.log(error.problem.body.error)
@@ -24,22 +24,22 @@
   }
 }
 
-/** Gives a problem as one sentence for people. */
+/** Formats a problem as one line of text. */
 export function describeProblem (problem: ClientProblem): string {
   switch (problem.kind) {
     case 'refused': return describeRefusal(problem.body)
-    case 'unexpected': return `unexpected answer with status ${problem.status}: ${problem.detail}`
+    case 'unexpected': return `unexpected response with status ${problem.status}: ${problem.detail}`
     case 'unreachable':
       return problem.progress === 'not_sent'
         ? `no node could be reached: ${problem.detail}`
-        : `no answer arrived, the request may have been carried out: ${problem.detail}`
+        : `no response received, the request may have been executed: ${problem.detail}`
   }
 }
 
 /**
- * Reads the body of a refusal.
+ * Parses the error body of a node.
  *
- * @returns undefined where the text is not an error body of a node
+ * @returns undefined when the text is not such a body
  */
 export function parseErrorBody (text: string): ErrorBody | undefined {
   try {
--- a/packages/cli/src/command-line.ts
+++ b/packages/cli/src/command-line.ts
@@ -1,4 +1,4 @@
-/** Reads the command line, runs the command it names and reports problems. */
+/** Parses the command line, runs the selected command and reports errors. */
 import { readFile } from 'node:fs/promises'
 import meow from 'meow'
 import { ClientError } from './client-error.js'
@@ -11,10 +11,10 @@
 import { JsonOutput, type Output, type Streams, TextOutput } from './output.js'
 import * as requests from './request-commands.js'
 
-/** Address where no `--node` is given. */
+/** Used without `--node`. */
 const DEFAULT_NODE_URL = 'http://127.0.0.1:8080'
 
-/** Above the default deadline of a short request, so that a node's own answer comes first. */
+/** Above the default deadline of a short request (10 s), so that the node's response arrives before the timeout. */
 const DEFAULT_TIMEOUT_MS = 15_000
 
 const commands: readonly Command[] = [
@@ -42,7 +42,7 @@
 /**
  * Runs one command line.
  *
- * @returns why the process ends; `exitCodes` gives the code
+ * @returns the reason to exit; `exitCodes` maps it to the exit code of the process
  * @example
  * await runCommandLine(['config', 'status', '--json'], streams) // 'done'
  */
@@ -101,12 +101,12 @@
 ${lines.join('\n')}
 
   Options
-    --node URL         a node; repeatable, the next is tried when one cannot be reached or shuts down (${DEFAULT_NODE_URL})
+    --node URL         URL of a node; repeatable, the next is tried when one cannot be reached or shuts down (${DEFAULT_NODE_URL})
     --json             JSON for programs instead of tables; problems go to stderr as JSON too
     --timeout-ms N     time for one attempt at one node (${DEFAULT_TIMEOUT_MS})
     --organisation ID  of "request"; filter of "jobs"
     --phase P, --limit N                      filters of "jobs"
-    --non-repeatable, --key UUID              of "request"; a key is made where none is given
+    --non-repeatable, --key UUID              of "request"; a key is generated when none is given
     --deadline-ms N, --request-class C, --content-type T  of "request"
     --interval-ms N    of "job watch" (1000)
 
--- a/packages/cli/src/command.ts
+++ b/packages/cli/src/command.ts
@@ -1,10 +1,10 @@
-/** What every command of the command line has in common. */
+/** Base classes of the commands. */
 import type { ExitReason } from './exit.js'
 import type { NodeClient } from './node-client.js'
 import type { Output, Streams } from './output.js'
 import { type FileReading, formatFileProblem } from '@comfreygrade/documents'
 
-/** Options of the command line. */
+/** Parsed flags of the command line. */
 export interface CommandOptions {
   readonly json: boolean
   readonly phase?: string
@@ -19,13 +19,13 @@
   readonly withNode: boolean
 }
 
-/** What a command works with. */
+/** Everything that a command can use. */
 export interface CommandContext {
   readonly client: NodeClient
   readonly output: Output
   readonly streams: Streams
   readonly options: CommandOptions
-  /** Values of `parameters`, in their order. */
+  /** Positional arguments, in the order of `parameters`. */
   readonly args: readonly string[]
   readFile (file: string): Promise<string>
 }
@@ -34,21 +34,21 @@
 export abstract class Command {
   /** Words that select the command. */
   abstract readonly words: readonly string[]
-  /** Names of what follows the words. */
+  /** Names of the positional arguments that follow the words. */
   readonly parameters: readonly string[] = []
-  /** One line for the help page. */
+  /** One-line description in the help text. */
   abstract readonly summary: string
 
-  /** Carries the command out; a failed call is thrown as a `ClientError` and reported by the caller. */
+  /** Runs the command; throws a `ClientError` when a call to a node fails, which the caller reports. */
   abstract run (context: CommandContext): Promise<ExitReason>
 
-  /** Form of the command for the help page. */
+  /** Synopsis in the help text. */
   get usage (): string {
     return [...this.words, ...this.parameters].join(' ')
   }
 }
 
-/** A command that asks a node once and shows the answer. */
+/** A command that makes one call to a node and shows the response. */
 export abstract class SingleCallCommand<T> extends Command {
   override async run (context: CommandContext): Promise<ExitReason> {
     const response = await this.fetch(context)
@@ -57,11 +57,11 @@
   }
 
   protected abstract fetch (context: CommandContext): Promise<T>
-  /** Gives the answer as text for people. */
+  /** Formats the response as text. */
   protected abstract render (response: T, context: CommandContext): string
 }
 
-/** A command whose first parameter is a file; an invalid one ends it. */
+/** A command whose first argument is a file; exits with `usage` when the file is missing or invalid. */
 export abstract class FileCommand<T> extends Command {
   override readonly parameters: readonly string[] = ['FILE']
 
@@ -75,9 +75,9 @@
 }
 
 /**
- * Reads a file (`-` is stdin) and reports all of its problems.
+ * Reads and parses a file (`-` is stdin) and reports all errors in it.
  *
- * @returns undefined where the file is missing or invalid
+ * @returns undefined when the file is missing or invalid
  */
 async function readInput<T> (
   { output, streams, readFile }: CommandContext, file: string, parse: (file: string, text: string) => FileReading<T>
--- a/packages/cli/src/configuration-commands.ts
+++ b/packages/cli/src/configuration-commands.ts
@@ -13,14 +13,14 @@
 import type { NodeClient } from './node-client.js'
 import { renderTable } from './tables.js'
 
-/** A command on a configuration file. */
+/** A command whose argument is a configuration file. */
 abstract class ConfigurationFileCommand extends FileCommand<ConfigurationDocument> {
   protected override parse (file: string, text: string): FileReading<ConfigurationDocument> {
     return readConfigurationFile(file, text)
   }
 }
 
-/** `config check FILE`: the checks that need no node; with `--with-node` also those that do. */
+/** `config check FILE`: validates the file locally; with `--with-node` also by a dry run on a node. */
 export class ConfigCheckCommand extends ConfigurationFileCommand {
   override readonly words = ['config', 'check']
   override readonly summary = 'check a configuration file; --with-node also asks a node whether it would be accepted'
@@ -33,7 +33,7 @@
   }
 }
 
-/** `config diff FILE`: what `apply` would change, and whether it would be accepted. */
+/** `config diff FILE`: shows what `apply` would change and checks by a dry run whether a node accepts it. */
 export class ConfigDiffCommand extends ConfigurationFileCommand {
   override readonly words = ['config', 'diff']
   override readonly summary = 'show what apply would change and whether it would be accepted'
@@ -47,10 +47,10 @@
   }
 }
 
-/** `config apply FILE`. */
+/** `config apply FILE`: replaces the configuration in force with the file. */
 export class ConfigApplyCommand extends ConfigurationFileCommand {
   override readonly words = ['config', 'apply']
-  override readonly summary = 'put a configuration file in force'
+  override readonly summary = 'apply a configuration file'
 
   protected override async runWith (document: ConfigurationDocument, context: CommandContext): Promise<ExitReason> {
     try {
@@ -100,8 +100,8 @@
 }
 
 /**
- * Puts a document in force: computes the change against what is in force and sends it. The transport sends the same
- * change again where an answer is lost, and the node then gives the same answer.
+ * Computes the change from the configuration in force to the document and sends it. When a response is lost, the
+ * transport retries the same change, to which a node gives the same response.
  *
  * @example
  * await applyDocument(client, document) // { version: 4, changedRecords: 2 }
@@ -122,12 +122,12 @@
   return diffDocument(await fetchCurrentConfiguration(client), document)
 }
 
-/** Throws where a node would refuse the change. */
+/** Throws when a node would refuse the change. */
 async function dryRun (client: NodeClient, change: ConfigurationChange): Promise<void> {
   if (!isEmptyChange(change)) await client.applyChange(change, true)
 }
 
-/** Somebody else's change is in force, so it is shown next to what the file would change in it. */
+/** Another operator's change is in force, so the error includes its version and how the file differs from it. */
 async function reportConflict (
   { client, output }: CommandContext, document: ConfigurationDocument, error: unknown
 ): Promise<ExitReason> {
--- a/packages/cli/src/configuration-file.ts
+++ b/packages/cli/src/configuration-file.ts
@@ -1,13 +1,13 @@
-/** Checks of a configuration document that need no node: schema, duplicates and references, all at once. */
+/** Validates a configuration file without a node: schema, duplicates and references, with all errors at once. */
 import { applyChange, type ConfigurationDocument, configurationDocumentSchema, diffDocument, emptyConfiguration } from '@comfreygrade/core'
 import { type FieldProblem, type FileReading, readYaml } from '@comfreygrade/documents'
 
 /**
- * Reads the inventory and rules that operators edit.
+ * Parses and validates the inventory and rules that operators edit.
  *
  * @example
- * const reading = readConfigurationFile('inventory.yaml', await readFile('inventory.yaml', 'utf8'))
- * if (reading.kind === 'valid') reading.value.workers.length
+ * const result = readConfigurationFile('inventory.yaml', await readFile('inventory.yaml', 'utf8'))
+ * if (result.kind === 'valid') console.log(result.value.workers.length)
  */
 export function readConfigurationFile (file: string, text: string): FileReading<ConfigurationDocument> {
   return readYaml(file, text, configurationDocumentSchema, validateDocument)
@@ -51,7 +51,7 @@
     : [{ path: ['guarantees', index, 'organisationId'], found: `"${organisationId}"`, allowed: 'an organisationId of organisations' }])
 }
 
-/** The node checks a change in the same way, so that a file that passes here has no broken reference there. */
+/** Runs the checks that a node makes on a change, so that a valid file has no reference that a node finds broken. */
 function validateAsChange (document: ConfigurationDocument): FieldProblem[] {
   const empty = emptyConfiguration()
   const result = applyChange(empty, diffDocument(empty, document))
--- a/packages/cli/src/exit.ts
+++ b/packages/cli/src/exit.ts
@@ -1,20 +1,19 @@
-/** How a command ends. */
+/** Exit codes of the command line. */
 import type { ErrorKind } from '@comfreygrade/core'
 import type { ClientProblem } from './client-error.js'
 
-/** Why the process ends. */
+/** Why the process exits. */
 export type ExitReason = 'done' | 'refused' | 'usage' | 'conflict' | 'unreachable'
 
-/** Exit code of the process for each reason. */
 export const exitCodes: Readonly<Record<ExitReason, number>> = {
   done: 0, refused: 1, usage: 2, conflict: 3, unreachable: 4
 }
 
-/** Refusals because somebody else was first. */
+/** Errors that mean that another client's change came first. */
 const CONFLICT_ERRORS: ReadonlySet<ErrorKind> = new Set<ErrorKind>(['version_conflict', 'version_gap', 'job_exists'])
 
 /**
- * Gives the reason to end for a failed call.
+ * Maps a failed call to an exit reason.
  *
  * @example
  * exitReasonOf({ kind: 'unreachable', progress: 'not_sent', detail: '' }) // 'unreachable'
--- a/packages/cli/src/fleet-commands.ts
+++ b/packages/cli/src/fleet-commands.ts
@@ -24,7 +24,7 @@
 /** `queue`. */
 export class QueueCommand extends SingleCallCommand<JobListResponse> {
   override readonly words = ['queue']
-  override readonly summary = 'list waiting jobs in the order in which they began to wait'
+  override readonly summary = 'list waiting jobs in the order in which they were queued'
 
   protected override async fetch ({ client }: CommandContext): Promise<JobListResponse> {
     return await client.queue()
@@ -42,7 +42,7 @@
 /** `guarantees`. */
 export class GuaranteesCommand extends SingleCallCommand<GuaranteesResponse> {
   override readonly words = ['guarantees']
-  override readonly summary = 'show what each guarantee holds, lends and misses'
+  override readonly summary = 'show cells, usage, lent and missing capacity of each guarantee'
 
   protected override async fetch ({ client }: CommandContext): Promise<GuaranteesResponse> {
     return { guarantees: await client.guarantees() }
@@ -56,7 +56,7 @@
 /** `status`. */
 export class StatusCommand extends SingleCallCommand<StatusAnswer> {
   override readonly words = ['status']
-  override readonly summary = 'show the status and counters of the node that answers'
+  override readonly summary = 'show the status and counters of the node that responds'
 
   protected override async fetch ({ client }: CommandContext): Promise<StatusAnswer> {
     return await client.status()
@@ -67,7 +67,7 @@
   }
 }
 
-/** Commands that take a kind and an ID of a part. */
+/** A command that takes the kind and ID of a resource to drain. */
 abstract class DrainTargetCommand extends Command {
   override readonly parameters = ['KIND', 'ID']
 
@@ -78,19 +78,19 @@
       context.output.writeProblem({ found: kind, allowed: drainKinds }, `KIND ${kind}: allowed ${drainKinds.join(', ')}`)
       return 'usage'
     }
-    await this.updateDrain(context, drainKind, id)
+    await this.setDrain(context, drainKind, id)
     return 'done'
   }
 
-  protected abstract updateDrain (context: CommandContext, kind: DrainKind, id: string): Promise<void>
+  protected abstract setDrain (context: CommandContext, kind: DrainKind, id: string): Promise<void>
 }
 
 /** `drain KIND ID`. */
 export class DrainCommand extends DrainTargetCommand {
   override readonly words = ['drain']
-  override readonly summary = `give a part no new work; KIND is ${drainKinds.join(', ')}`
+  override readonly summary = `give a VM, worker or backend server no new work; KIND is ${drainKinds.join(', ')}`
 
-  protected override async updateDrain ({ client, output }: CommandContext, kind: DrainKind, id: string): Promise<void> {
+  protected override async setDrain ({ client, output }: CommandContext, kind: DrainKind, id: string): Promise<void> {
     await client.drain({ kind, id })
     output.writeResult({ kind, id, isDraining: true }, () => `${kind} ${id} gets no new work`)
   }
@@ -101,7 +101,7 @@
   override readonly words = ['undrain']
   override readonly summary = 'end a drain'
 
-  protected override async updateDrain ({ client, output }: CommandContext, kind: DrainKind, id: string): Promise<void> {
+  protected override async setDrain ({ client, output }: CommandContext, kind: DrainKind, id: string): Promise<void> {
     await client.undrain({ kind, id })
     output.writeResult({ kind, id, isDraining: false }, () => `${kind} ${id} gets work again`)
   }
--- a/packages/cli/src/job-commands.ts
+++ b/packages/cli/src/job-commands.ts
@@ -5,7 +5,7 @@
 import type { JobAnswer, JobListResponse } from './api-types.js'
 import { Command, type CommandContext, FileCommand, SingleCallCommand } from './command.js'
 import type { ExitReason } from './exit.js'
-import { readJobFile } from './job-file.js'
+import { parseJobFile } from './job-file.js'
 import { renderFields, renderTable } from './tables.js'
 
 /** `jobs`. */
@@ -30,7 +30,7 @@
   override readonly summary = 'submit a gang job from a YAML or JSON file or from stdin'
 
   protected override parse (file: string, text: string): FileReading<JobSpec> {
-    return readJobFile(file, text)
+    return parseJobFile(file, text)
   }
 
   protected override async runWith (job: JobSpec, { client, output }: CommandContext): Promise<ExitReason> {
@@ -74,7 +74,7 @@
 export class JobExplainCommand extends SingleCallCommand<JobExplanation> {
   override readonly words = ['job', 'explain']
   override readonly parameters = ['ID']
-  override readonly summary = 'say why a job waits or how it was placed'
+  override readonly summary = 'show why a job waits or how it was placed'
 
   protected override async fetch ({ client, args }: CommandContext): Promise<JobExplanation> {
     return await client.explainJob(args[0] ?? '')
@@ -85,11 +85,11 @@
   }
 }
 
-/** `job watch ID`. */
+/** `job watch ID`: polls until the job has ended. */
 export class JobWatchCommand extends Command {
   override readonly words = ['job', 'watch']
   override readonly parameters = ['ID']
-  override readonly summary = 'print each change of a job until it has ended; exit code 1 where it did not complete'
+  override readonly summary = 'print each change of a job until it has ended; exit code 1 if it did not complete'
 
   override async run ({ client, output, args, options }: CommandContext): Promise<ExitReason> {
     let previousLine = ''
@@ -104,7 +104,7 @@
   }
 }
 
-/** Renders a list of jobs. */
+/** Renders jobs as a table; `total` includes the jobs beyond the limit. */
 export function renderJobs (jobs: readonly JobAnswer[], total: number): string {
   const rows = jobs.map(({ spec, phase, outcome, starts, detail }) => (
     [spec.jobId, spec.organisationId, spec.priority, describeGangShape(spec), phase, outcome ?? '-', starts, detail]))
--- a/packages/cli/src/job-file.ts
+++ b/packages/cli/src/job-file.ts
@@ -1,4 +1,4 @@
-/** Reads a gang job from a file. */
+/** Parses the file of a gang job. */
 import { randomBytes } from 'node:crypto'
 import type { JobSpec } from '@comfreygrade/core'
 import { z } from 'zod'
@@ -21,16 +21,17 @@
   preemption: z.enum(['checkpoint', 'repeat', 'none'])
 })
 
-/** Longest job class that is repeated in a generated job ID; an identifier has at most 64 characters. */
+/** A generated job ID starts with the job class, cut to this length so that the ID stays within 64 characters. */
 const MAX_JOB_CLASS_PREFIX_CHARACTERS = 50
 
 /**
- * Reads a job; a job ID is generated where the file gives none, so that a repeated submission creates no second job.
+ * Parses and validates a job. Generates a job ID when the file has none, so that a retried submission does not create
+ * a second job.
  *
  * @example
- * readJobFile('job.yaml', text)
+ * parseJobFile('job.yaml', text)
  */
-export function readJobFile (file: string, text: string): FileReading<JobSpec> {
+export function parseJobFile (file: string, text: string): FileReading<JobSpec> {
   const result = readYaml(file, text, jobSchema, () => [])
   if (result.kind === 'invalid') return result
   const { jobId, ...rest } = result.value
--- a/packages/cli/src/main.ts
+++ b/packages/cli/src/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** The operators' command line. */
+/** Entry point of the `comfreygrade` command. */
 import { runCommandLine } from './command-line.js'
 import { exitCodes } from './exit.js'
 import type { Streams } from './output.js'
--- a/packages/cli/src/node-client.ts
+++ b/packages/cli/src/node-client.ts
@@ -14,7 +14,7 @@
   readonly limit?: number
 }
 
-/** A short request as a caller sends it. */
+/** A short request to a service. */
 export interface ShortRequest {
   readonly service: string
   readonly organisationId: string
@@ -24,20 +24,23 @@
   readonly deadlineMs?: number
   readonly requestId?: string
   readonly requestClass?: string
-  /** A UUID of version 7; protects a non-repeatable request against the caller's own repeats. */
+  /** A UUID of version 7; with it, retries of a non-repeatable request execute it at most once. */
   readonly idempotencyKey?: string
 }
 
-/** A node answers at the deadline at the latest; a client that gave up before would repeat work that is under way. */
+/**
+ * Margin of the client's timeout over the deadline. A node responds by the deadline at the latest; a client that timed
+ * out earlier would repeat a request that is still being executed.
+ */
 const DEADLINE_MARGIN_MS = 1_000
 
-/** Calls nodes; every method throws a {@link ClientError} where it has no answer. */
+/** Calls the API; every method throws a {@link ClientError} when the call fails. */
 export class NodeClient {
   readonly #transport: NodeTransport
 
   /**
    * @param nodes base URLs, tried in this order
-   * @param timeoutMs time for one attempt at one node
+   * @param timeoutMs timeout of one attempt at one node
    * @example
    * const client = new NodeClient(['http://127.0.0.1:8080'], 5_000)
    * const { version } = await client.configuration()
@@ -46,38 +49,38 @@
     this.#transport = new NodeTransport(nodes, timeoutMs)
   }
 
-  /** The configuration in force. */
+  /** Returns the configuration in force. */
   async configuration (): Promise<ConfigurationResponse> {
     return await this.#getJson('/v1/configuration')
   }
 
-  /** How far the configuration in force has spread. */
+  /** Returns which nodes have acknowledged the configuration in force. */
   async configurationStatus (): Promise<ConfigurationStatusResponse> {
     return await this.#getJson('/v1/configuration/status')
   }
 
-  /** Sends a change; the same change may be sent again and gets the same answer. */
+  /** Applies a change, or only checks it in a dry run. A repeated identical change gets the same response. */
   async applyChange (change: ConfigurationChange, isDryRun = false): Promise<ChangeResponse> {
     return await this.#postJson(`/v1/configuration/changes${isDryRun ? '?dryRun=true' : ''}`, change)
   }
 
-  /** Workers, backend servers, drains and totals. */
+  /** Returns workers, backend servers, drains and totals. */
   async fleet (): Promise<FleetResponse> {
     return await this.#getJson('/v1/fleet')
   }
 
-  /** Waiting jobs in the order in which they began to wait. */
+  /** Returns the waiting jobs in the order in which they were queued. */
   async queue (): Promise<JobListResponse> {
     return await this.#getJson('/v1/queue')
   }
 
-  /** What every guarantee holds and lends. */
+  /** Returns the usage of every guarantee. */
   async guarantees (): Promise<readonly GuaranteeSummary[]> {
     const { guarantees } = await this.#getJson<{ guarantees: readonly GuaranteeSummary[] }>('/v1/guarantees')
     return guarantees
   }
 
-  /** Jobs in order of submission, the first ones where a limit applies. */
+  /** Returns jobs in order of submission; a limit keeps the first ones. */
   async jobs (filter: JobFilter = {}): Promise<JobListResponse> {
     const query = new URLSearchParams()
     for (const [name, value] of Object.entries(filter)) {
@@ -86,47 +89,46 @@
     return await this.#getJson(query.size === 0 ? '/v1/jobs' : `/v1/jobs?${query.toString()}`)
   }
 
-  /** Submits a gang job; its job ID keeps a repeated submission from creating a second job. */
+  /** Submits a gang job. A repeated submission with the same job ID does not create a second job. */
   async submitJob (job: JobSpec): Promise<JobAnswer> {
     return await this.#postJson('/v1/jobs', job)
   }
 
-  /** One job. */
   async job (jobId: string): Promise<JobAnswer> {
     return await this.#getJson(`/v1/jobs/${encodeURIComponent(jobId)}`)
   }
 
-  /** Cancels a job; a job that has ended stays as it is. */
+  /** Cancels a job; has no effect on a job that has ended. */
   async cancelJob (jobId: string): Promise<JobAnswer> {
     return await this.#callJson({ method: 'DELETE', path: `/v1/jobs/${encodeURIComponent(jobId)}`, isIdempotent: true })
   }
 
-  /** Why a job waits, or how it was placed or refused. */
+  /** Returns why a job waits, or how it was placed or refused. */
   async explainJob (jobId: string): Promise<JobExplanation> {
     return await this.#getJson(`/v1/jobs/${encodeURIComponent(jobId)}/explanation`)
   }
 
-  /** Starts a drain. */
+  /** Stops giving new work to a VM, worker or backend server. */
   async drain (drain: Drain): Promise<void> {
     await this.#postJson('/v1/drains', drain)
   }
 
-  /** Ends a drain. */
+  /** Gives new work again to a drained VM, worker or backend server. */
   async undrain ({ kind, id }: Drain): Promise<void> {
     await this.#callJson({ method: 'DELETE', path: `/v1/drains/${kind}/${encodeURIComponent(id)}`, isIdempotent: true })
   }
 
-  /** Status of the node that answers. */
+  /** Returns the status of the node that responds. */
   async status (): Promise<StatusAnswer> {
     return await this.#getJson('/v1/status')
   }
 
-  /** Outcome of a non-repeatable request with a key. */
+  /** Returns the outcome of a non-repeatable request by its idempotency key. */
   async claim (organisationId: string, key: string): Promise<ClaimResponse> {
     return await this.#getJson(`/v1/claims/${encodeURIComponent(organisationId)}/${encodeURIComponent(key)}`)
   }
 
-  /** Sends a short request. A non-repeatable one without a key is sent to one node, once. */
+  /** Sends a short request. A non-repeatable request without an idempotency key is sent only once, to one node. */
   async sendRequest (request: ShortRequest): Promise<ShortRequestAnswer> {
     const isIdempotent = request.repeatability === 'idempotent' || request.idempotencyKey !== undefined
     const response = await this.#transport.send({
@@ -142,7 +144,7 @@
     return toShortRequestResponse(response)
   }
 
-  /** Closes the connections. */
+  /** Closes all connections. */
   async close (): Promise<void> {
     await this.#transport.close()
   }
@@ -151,7 +153,7 @@
     return await this.#callJson({ method: 'GET', path, isIdempotent: true })
   }
 
-  /** Every JSON body sent here names its own identity (version, job ID, drained part), so a repeat changes nothing. */
+  /** Every JSON body sent here identifies its target (version, job ID, drained resource), so a retry has no effect. */
   async #postJson<T> (path: string, value: unknown): Promise<T> {
     const headers = { 'content-type': 'application/json' }
     return await this.#callJson({ method: 'POST', path, headers, body: JSON.stringify(value), isIdempotent: true })
@@ -170,7 +172,7 @@
   }
 }
 
-/** An empty body, as of status 204, counts as an empty object. */
+/** Parses a JSON body; an empty body, as with status 204, gives an empty object, invalid JSON gives undefined. */
 function parseJson (text: string): unknown {
   try {
     return text === '' ? {} : JSON.parse(text)
--- a/packages/cli/src/node-transport.ts
+++ b/packages/cli/src/node-transport.ts
@@ -1,39 +1,39 @@
-/** Sends HTTP requests to one of several nodes. */
+/** Sends HTTP requests to a list of nodes, with failover. */
 import { Agent, type Dispatcher, request } from 'undici'
 import { ClientError, type ClientProblem, parseErrorBody } from './client-error.js'
 
-/** One call to a node. */
+/** An HTTP request to any of the nodes. */
 export interface NodeCall {
   readonly method: 'GET' | 'POST' | 'DELETE'
   readonly path: string
   readonly headers?: Readonly<Record<string, string>>
   readonly body?: string | Buffer
-  /** Whether a second execution of the same call changes nothing. */
+  /** Whether executing the call a second time has no further effect, so that it can be retried. */
   readonly isIdempotent: boolean
-  /** Time for one attempt; the transport's own where absent. */
+  /** Timeout of one attempt; defaults to that of the transport. */
   readonly timeoutMs?: number
 }
 
-/** A complete answer of a node. */
+/** A complete HTTP response of a node. */
 export interface NodeResponse {
   readonly status: number
   readonly headers: Readonly<Record<string, string>>
   readonly body: Buffer
 }
 
-type Attempt =
-  | { readonly kind: 'answered', readonly answer: NodeResponse }
+type AttemptResult =
+  | { readonly kind: 'answered', readonly response: NodeResponse }
   | { readonly kind: 'failed', readonly problem: ClientProblem & { kind: 'unreachable' } }
 
-/** Errors that arise before any byte of a request is sent. */
-const NOT_SENT_CODES = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'UND_ERR_CONNECT_TIMEOUT', 'ENOTFOUND'])
+/** Error codes that occur only before any byte of a request is sent. */
+const NOT_SENT_ERROR_CODES = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'UND_ERR_CONNECT_TIMEOUT', 'ENOTFOUND'])
 
 /**
- * Tries nodes in the order given, as long as a call is safe to repeat.
+ * Tries the nodes in the given order until one responds; a call that is not idempotent goes to the first node only.
  *
  * @example
  * const transport = new NodeTransport(['http://127.0.0.1:8080'], 5_000)
- * await transport.call({ method: 'GET', path: '/v1/status', isIdempotent: true })
+ * await transport.send({ method: 'GET', path: '/v1/status', isIdempotent: true })
  */
 export class NodeTransport {
   readonly #nodes: readonly string[]
@@ -47,8 +47,8 @@
   }
 
   /**
-   * Gives the first complete answer that does not advise to repeat the call now; throws a {@link ClientError} where no
-   * node gave an answer.
+   * Returns the first complete response that does not advise an immediate retry; throws a {@link ClientError} when no
+   * node responds.
    */
   async send (call: NodeCall): Promise<NodeResponse> {
     let failure: ClientProblem & { kind: 'unreachable' } | undefined
@@ -56,44 +56,44 @@
     for (const node of this.#nodesToTry(call)) {
       const attempt = await this.#attempt(node, call)
       if (attempt.kind === 'failed') failure = mergeFailures(failure, attempt.problem)
-      else if (advisesImmediateRetry(attempt.answer)) refusal = attempt.answer
-      else return attempt.answer
+      else if (advisesImmediateRetry(attempt.response)) refusal = attempt.response
+      else return attempt.response
     }
-    // The refusal of one node says nothing of a call that another one may have carried out.
+    // A refusal by one node does not tell the outcome of an attempt that another node may have executed.
     if (refusal !== undefined && failure?.progress !== 'maybe_sent') return refusal
-    throw new ClientError(failure ?? { kind: 'unreachable', progress: 'not_sent', detail: 'no node is given' })
+    throw new ClientError(failure ?? { kind: 'unreachable', progress: 'not_sent', detail: 'no node URL given' })
   }
 
-  /** Closes the connections. */
+  /** Closes all connections. */
   async close (): Promise<void> {
     await this.#agent.destroy()
   }
 
-  /** A single node is asked twice, since a lost answer is as likely as a lost node. */
+  /** A single node is tried twice, because a lost response is as likely as a lost node. */
   #nodesToTry ({ isIdempotent }: NodeCall): readonly string[] {
     if (!isIdempotent) return this.#nodes.slice(0, 1)
     return this.#nodes.length === 1 ? [...this.#nodes, ...this.#nodes] : this.#nodes
   }
 
-  async #attempt (node: string, { method, path, headers, body, timeoutMs }: NodeCall): Promise<Attempt> {
+  async #attempt (node: string, { method, path, headers, body, timeoutMs }: NodeCall): Promise<AttemptResult> {
     try {
       const signal = AbortSignal.timeout(timeoutMs ?? this.#timeoutMs)
       const response = await request(node + path, { method, headers, body, signal, dispatcher: this.#agent })
-      return { kind: 'answered', answer: await readResponse(response) }
+      return { kind: 'answered', response: await readResponse(response) }
     } catch (error) {
       return { kind: 'failed', problem: toUnreachable(node, error) }
     }
   }
 }
 
-/** Reads a refusal out of an answer; undefined where it is not one. */
+/** Returns the error body of a response as a problem; undefined when the response is not a refusal. */
 export function findRefusal (response: NodeResponse): ClientProblem | undefined {
   if (response.status < 400) return undefined
   const body = parseErrorBody(response.body.toString('utf8'))
   return body === undefined ? undefined : { kind: 'refused', status: response.status, body }
 }
 
-/** As of a node that is shutting down; another one may take the call. */
+/** For example, a node that is shutting down advises a retry at once, because another node may accept the call. */
 function advisesImmediateRetry (response: NodeResponse): boolean {
   const refusal = findRefusal(response)
   return refusal?.kind === 'refused' && refusal.body.repeat === 'now'
@@ -107,7 +107,7 @@
 
 function toUnreachable (node: string, error: unknown): ClientProblem & { kind: 'unreachable' } {
   const { code, message } = error as { code?: unknown, message?: string }
-  const progress = NOT_SENT_CODES.has(String(code)) ? 'not_sent' : 'maybe_sent'
+  const progress = NOT_SENT_ERROR_CODES.has(String(code)) ? 'not_sent' : 'maybe_sent'
   return { kind: 'unreachable', progress, detail: `${node}: ${message ?? String(error)}` }
 }
 
--- a/packages/cli/src/output.ts
+++ b/packages/cli/src/output.ts
@@ -1,13 +1,13 @@
-/** Where commands write: tables for people or JSON for programs. */
+/** Output of commands: text tables or JSON. */
 
-/** The streams of the process, or their replacements in tests. */
+/** Standard streams of the process, replaced in tests. */
 export interface Streams {
   readStdin (): Promise<Buffer>
   write (text: string | Buffer): void
   writeError (text: string): void
 }
 
-/** Writes results to stdout and problems to stderr. */
+/** Writes results to stdout, problems and notes to stderr. */
 export abstract class Output {
   protected readonly streams: Streams
 
@@ -15,19 +15,19 @@
     this.streams = streams
   }
 
-  /** Writes a result; `render` gives the text for people. */
+  /** Writes a result; `render` formats it as text. */
   abstract writeResult (value: unknown, render: () => string): void
 
-  /** Writes a problem; `value` is its form for programs. */
+  /** Writes a problem: `value` as JSON or `text`, depending on the format. */
   abstract writeProblem (value: unknown, text: string): void
 
-  /** Writes a remark that belongs to no result. */
+  /** Writes additional information that is not part of the result. */
   writeNote (text: string): void {
     this.streams.writeError(`${text}\n`)
   }
 }
 
-/** Tables and sentences. */
+/** Writes text tables and messages. */
 export class TextOutput extends Output {
   override writeResult (_value: unknown, render: () => string): void {
     this.streams.write(`${render()}\n`)
@@ -38,7 +38,7 @@
   }
 }
 
-/** One JSON value per line. */
+/** Writes one JSON value per line. */
 export class JsonOutput extends Output {
   override writeResult (value: unknown): void {
     this.streams.write(`${JSON.stringify(value)}\n`)
--- a/packages/cli/src/request-commands.ts
+++ b/packages/cli/src/request-commands.ts
@@ -6,7 +6,7 @@
 import { renderFields } from './tables.js'
 import { uuidV7 } from './uuid-v7.js'
 
-/** `request SERVICE`: the body is read from stdin, the answer's body is written to stdout unchanged. */
+/** `request SERVICE`: reads the request body from stdin and writes the response body to stdout unchanged. */
 export class RequestCommand extends Command {
   override readonly words = ['request']
   override readonly parameters = ['SERVICE']
@@ -19,7 +19,7 @@
       return 'usage'
     }
     const request = buildRequest(context, args[0] ?? '', options.organisation, await streams.readStdin())
-    // The key is needed to ask for the outcome, so it is written before anything can go wrong.
+    // The key is needed to query the outcome of a failed request, so it is written before the request is sent.
     if (request.idempotencyKey !== undefined) output.writeNote(`idempotency-key: ${request.idempotencyKey}`)
     const response = await client.sendRequest(request)
     if (options.json) output.writeResult(toJson(response), () => '')
@@ -44,7 +44,7 @@
   }
 }
 
-/** A non-repeatable request always has a key, so that it can be sent again and asked for. */
+/** Generates a key for a non-repeatable request without one, so that it can be retried and its outcome queried. */
 function buildRequest (
   { options }: CommandContext, service: string, organisationId: string, body: Buffer
 ): ShortRequest {
--- a/packages/cli/src/tables.ts
+++ b/packages/cli/src/tables.ts
@@ -1,11 +1,10 @@
-/** Tables for people. */
+/** Text tables. */
 import Table from 'cli-table3'
 
-/** A cell of a table. */
 export type Cell = string | number | boolean
 
 /**
- * Renders rows under a head, without colours, so that the text can be piped.
+ * Renders rows under a header, without colours, so that the text can be piped.
  *
  * @example
  * renderTable(['worker', 'state'], [['w1', 'active']])
@@ -17,7 +16,7 @@
 }
 
 /**
- * Renders names and values, one a line.
+ * Renders an object as a table of field paths and values.
  *
  * @example
  * renderFields({ version: 3, isDryRun: false })
@@ -27,7 +26,7 @@
 }
 
 /**
- * Joins parts with their titles.
+ * Renders titled sections, separated by blank lines.
  *
  * @example
  * renderSections([['Workers', renderTable(['worker'], [])]])
--- a/packages/cli/src/uuid-v7.ts
+++ b/packages/cli/src/uuid-v7.ts
@@ -1,7 +1,7 @@
 import { randomBytes } from 'node:crypto'
 
 /**
- * Makes a UUID of version 7 (RFC 9562): 48 bits of time of issue in milliseconds, then random bits.
+ * Generates a UUID of version 7 (RFC 9562): a 48-bit Unix timestamp in milliseconds, then random bits.
  *
  * @example
  * uuidV7(Date.now()) // '0193a5e0-…-7…-…'
--- a/packages/cli/test/command-line.test.ts
+++ b/packages/cli/test/command-line.test.ts
@@ -8,7 +8,7 @@
 import { exitCodes } from '../src/index.js'
 import { errorReply, FakeNode, type RecordedCall, runCommand } from './fake-node.js'
 
-const CHANGES = 'POST /v1/configuration/changes'
+const CHANGES_ROUTE = 'POST /v1/configuration/changes'
 
 const desiredDocument: ConfigurationDocument = {
   ...toDocument(emptyConfiguration()),
@@ -23,49 +23,51 @@
   return file
 }
 
-/** A node with a configuration; a change is accepted at the version in force, and again with the same content. */
-async function startNodeWithConfiguration (version = 0, document = toDocument(emptyConfiguration())): Promise<FakeNode> {
+/** Starts a node with a configuration that accepts one change, and the same change again, but no other one. */
+async function startNodeWithConfiguration (
+  version = 0, document = toDocument(emptyConfiguration())
+): Promise<FakeNode> {
   const node = await new FakeNode().start()
-  let accepted = ''
+  let acceptedChange = ''
   node.respondWith('GET /v1/configuration', { version, document })
-  node.replyHandlers.set(CHANGES, (call: RecordedCall) => {
+  node.replyHandlers.set(CHANGES_ROUTE, (call: RecordedCall) => {
     const change = JSON.parse(call.text) as ConfigurationChange
-    if (accepted !== '' && accepted !== call.text) return errorReply({ kind: 'version_conflict', detail: 'version 1' })
-    accepted = call.text
+    if (acceptedChange !== '' && acceptedChange !== call.text) return errorReply({ kind: 'version_conflict', detail: 'version 1' })
+    acceptedChange = call.text
     return { status: 200, body: { version: change.version, isDryRun: false } }
   })
   return node
 }
 
-test('a lost answer of apply is recovered by the same change, so that no second version is made', async t => {
+test('apply retries the same change after a lost response, so that no second version is created', async t => {
   const node = await startNodeWithConfiguration()
   const file = await writeTempFile(t, desiredDocument)
-  const accept = node.replyHandlers.get(CHANGES) ?? (() => errorReply({ kind: 'not_found', detail: '' }))
-  let losses = 1
-  node.replyHandlers.set(CHANGES, call => {
-    node.responsesToDrop = losses--
+  const accept = node.replyHandlers.get(CHANGES_ROUTE) ?? (() => errorReply({ kind: 'not_found', detail: '' }))
+  let remainingDrops = 1
+  node.replyHandlers.set(CHANGES_ROUTE, call => {
+    node.responsesToDrop = remainingDrops--
     return accept(call)
   })
   const { reason, stdout } = await runCommand([node.address], ['config', 'apply', file, '--json'])
   t.is(reason, 'done')
   t.deepEqual(JSON.parse(stdout), { version: 1, changedRecords: 1 })
-  const [first, second] = node.calls.filter(call => call.route === CHANGES)
+  const [first, second] = node.calls.filter(call => call.route === CHANGES_ROUTE)
   t.is(first?.text, second?.text)
   node.stop()
 })
 
-test('apply of what is in force sends nothing, so that running it again makes no version', async t => {
+test('apply sends nothing when the file equals the configuration in force, so that running it again creates no version', async t => {
   const node = await startNodeWithConfiguration(4, desiredDocument)
   const { reason, stdout } = await runCommand([node.address], ['config', 'apply', await writeTempFile(t, desiredDocument)])
   t.is(reason, 'done')
   t.is(stdout, 'nothing to change, version 4 is in force\n')
-  t.deepEqual(node.routes(), ['GET /v1/configuration'])
+  t.deepEqual(node.calledRoutes(), ['GET /v1/configuration'])
   node.stop()
 })
 
-test('a version conflict shows what is in force, so that a racing operator sees what the file would undo', async t => {
+test('a version conflict shows how the file differs from the version in force, so that no concurrent change is undone unseen', async t => {
   const node = await startNodeWithConfiguration()
-  node.replyHandlers.set(CHANGES, () => {
+  node.replyHandlers.set(CHANGES_ROUTE, () => {
     node.respondWith('GET /v1/configuration', { version: 1, document: { ...desiredDocument, organisations: [] } })
     return errorReply({ kind: 'version_conflict', detail: 'version 1 has other content' })
   })
@@ -77,7 +79,7 @@
   node.stop()
 })
 
-test('an invalid file never reaches a node and ends with code 2', async t => {
+test('an invalid file is not sent to a node and gives exit code 2', async t => {
   const node = await startNodeWithConfiguration()
   const { reason, stderr } = await runCommand([node.address], ['config', 'apply', await writeTempFile(t, 'racks: 3'), '--json'])
   t.is(exitCodes[reason], 2)
@@ -86,30 +88,30 @@
   node.stop()
 })
 
-test('diff asks whether the change would be accepted without applying it', async t => {
+test('diff checks with a dry run whether the change would be accepted, and does not apply it', async t => {
   const node = await startNodeWithConfiguration()
-  node.replyHandlers.set(`${CHANGES}?dryRun=true`, () => errorReply({ kind: 'guarantee_unsatisfiable', detail: '1 cell' }))
+  node.replyHandlers.set(`${CHANGES_ROUTE}?dryRun=true`, () => errorReply({ kind: 'guarantee_unsatisfiable', detail: '1 cell' }))
   const { reason, stdout, stderr } = await runCommand([node.address], ['config', 'diff', await writeTempFile(t, desiredDocument)])
   t.is(exitCodes[reason], 1)
   t.regex(stdout, /quotaAccelerators=8/)
   t.regex(stderr, /guarantee_unsatisfiable: 1 cell \(outcome: not_run, repeat: never\)/)
-  t.false(node.routes().includes(CHANGES))
+  t.false(node.calledRoutes().includes(CHANGES_ROUTE))
   node.stop()
 })
 
-test('unreachable nodes end with code 4, so that scripts can tell them from a refusal', async t => {
+test('unreachable nodes give exit code 4, so that scripts can distinguish them from a refusal', async t => {
   const { reason, stderr } = await runCommand(['http://127.0.0.1:9'], ['fleet'])
   t.is(exitCodes[reason], 4)
   t.regex(stderr, /no node could be reached/)
 })
 
-test('usage errors end with code 2 before any call', async t => {
+test('usage errors give exit code 2 without any call to a node', async t => {
   for (const argv of [['job'], ['config', 'apply'], ['drain', 'rack', 'r1'], ['fleet', '--limit', '0']]) {
     t.is(exitCodes[(await runCommand(['http://127.0.0.1:9'], argv)).reason], 2)
   }
 })
 
-test('a job from stdin is submitted once more with the same ID when the answer is lost', async t => {
+test('a job from stdin is submitted again with the same ID when the response is lost', async t => {
   const node = await new FakeNode().start()
   node.replyHandlers.set('POST /v1/jobs', call => {
     const spec = JSON.parse(call.text)
@@ -125,7 +127,7 @@
   node.stop()
 })
 
-test('watch prints each phase once and ends with code 1 for a job that did not complete', async t => {
+test('watch prints each phase once and gives exit code 1 for a job that did not complete', async t => {
   const node = await new FakeNode().start()
   const phases = ['waiting', 'waiting', 'running', 'ended']
   node.replyHandlers.set('GET /v1/jobs/j1', () => {
@@ -138,7 +140,7 @@
   node.stop()
 })
 
-test('a request passes the body unchanged and prints the key first, so that its outcome can be asked for', async t => {
+test('a request passes the body unchanged and prints the idempotency key first, so that its outcome can be queried', async t => {
   const node = await new FakeNode().start()
   node.replyHandlers.set('POST /v1/services/charge/requests', call => ({ status: 200, body: `<${call.text}>` }))
   const argv = ['request', 'charge', '--organisation', 'o1', '--non-repeatable']
@@ -150,7 +152,7 @@
   node.stop()
 })
 
-test('tables and JSON are written for the views of the fleet, so that a missing field is noticed', async t => {
+test('fleet and guarantees show the fields of the response as tables and as JSON', async t => {
   const guarantee = {
     guaranteeId: 'g1', organisationId: 'o1', acceleratorModel: 'gpu', acceleratorsPerCell: 4, cells: 2, cellsInUse: 1, lentAccelerators: 4, missingCells: 0
   }
--- a/packages/cli/test/fake-node.ts
+++ b/packages/cli/test/fake-node.ts
@@ -1,4 +1,4 @@
-/** A fake node: answers by method and path, records calls, and can lose an answer. */
+/** A fake node: responds by method and path, records calls, and can drop responses. */
 import { once } from 'node:events'
 import { createServer, type IncomingMessage, type ServerResponse } from 'node:http'
 import type { AddressInfo } from 'node:net'
@@ -15,9 +15,9 @@
 
 export class FakeNode {
   readonly calls: RecordedCall[] = []
-  /** Answers by `METHOD path`; a call without one is answered with `not_found`. */
+  /** Reply functions by `METHOD path`; other calls are refused with `not_found`. */
   readonly replyHandlers = new Map<string, (call: RecordedCall) => Reply>()
-  /** Calls that are carried out but whose connection is cut before the answer. */
+  /** Number of next calls that are executed but whose connection is closed before the response. */
   responsesToDrop = 0
   readonly #server = createServer((request, response) => { this.#handle(request, response).catch(() => {}) })
 
@@ -41,7 +41,7 @@
     return this
   }
 
-  routes (): string[] {
+  calledRoutes (): string[] {
     return this.calls.map(call => call.route)
   }
 
@@ -62,7 +62,7 @@
 
 export interface CommandResult { reason: ExitReason, stdout: string, stderr: string }
 
-/** Runs a command line against nodes and collects what it writes. */
+/** Runs a command line against nodes and captures its output. */
 export async function runCommand (nodes: readonly string[], argv: readonly string[], stdin = ''): Promise<CommandResult> {
   let stdout = ''
   let stderr = ''
--- a/packages/cli/test/files.test.ts
+++ b/packages/cli/test/files.test.ts
@@ -1,5 +1,5 @@
 import test from 'ava'
-import { formatFileProblem, readConfigurationFile, readJobFile } from '../src/index.js'
+import { formatFileProblem, parseJobFile, readConfigurationFile } from '../src/index.js'
 
 const rules = 'rules: { maxGangTasks: 64, reclaimWithinMs: 3000, maxRequestBodyBytes: 1, defaultDeadlineMs: 1, maxDeadlineMs: 2 }'
 
@@ -7,11 +7,11 @@
   `  - { workerId: ${id}, rackId: ${rack}, rackPosition: ${position}, cores: 64, memoryGb: 256, acceleratorModel: gpu, accelerators: 8 }`
 
 function formatProblems (text: string): string[] {
-  const reading = readConfigurationFile('f.yaml', text)
-  return reading.kind === 'valid' ? [] : reading.problems.map(formatFileProblem)
+  const result = readConfigurationFile('f.yaml', text)
+  return result.kind === 'valid' ? [] : result.problems.map(formatFileProblem)
 }
 
-test('every schema error is reported at once with its line, so that an operator mends a file in one go', t => {
+test('all schema errors are reported at once with their lines, so that a file can be corrected in one pass', t => {
   const text = `racks: []
 workers:
   - workerId: w1
@@ -35,7 +35,7 @@
   ])
 })
 
-test('duplicates and broken references are all found, since the node reports only the first', t => {
+test('all duplicates and broken references are reported, although a node reports only the first', t => {
   const text = `racks:
   - { rackId: r1, region: a, availabilityZone: b }
 workers:
@@ -55,14 +55,14 @@
   ])
 })
 
-test('a syntax error names its line, so that a file is never half read', t => {
+test('a syntax error is reported with its line, and the file is not partially accepted', t => {
   const [problem] = formatProblems('racks: []\nworkers: [\n')
   t.regex(problem ?? '', /^f\.yaml:\d: found .*allowed valid YAML/)
 })
 
-test('a job without an ID gets one, so that sending it again creates no second job', t => {
+test('a job without an ID gets a generated one, so that a retried submission does not create a second job', t => {
   const text = `{ organisationId: o, jobClass: nightly, tasks: 2, acceleratorModel: gpu, acceleratorsPerTask: 8, coresPerTask: 1,
     memoryGbPerTask: 1, adjacency: rack, declaredRunMs: 1000, priority: normal, preemption: repeat }`
-  const reading = readJobFile('job.yaml', text)
-  t.regex(reading.kind === 'valid' ? reading.value.jobId : '', /^nightly-[0-9a-f]{12}$/)
+  const result = parseJobFile('job.yaml', text)
+  t.regex(result.kind === 'valid' ? result.value.jobId : '', /^nightly-[0-9a-f]{12}$/)
 })
--- a/packages/cli/test/node-client.test.ts
+++ b/packages/cli/test/node-client.test.ts
@@ -7,7 +7,7 @@
 import { ClientError, NodeClient, type ShortRequest, uuidV7 } from '../src/index.js'
 import { errorReply, FakeNode } from './fake-node.js'
 
-/** Fails the type check where the node's types and the client's differ in a field that the client reads. */
+/** Fails the type check when a field that the client reads is missing or different in the node's type. */
 type AssertReadable<Client, Node extends Client> = Node
 export type CheckedTypes = [
   AssertReadable<JobAnswer, JobView>, AssertReadable<ConfigurationStatusResponse, ConfigurationStatus>,
@@ -41,77 +41,77 @@
   }
 }
 
-test('the next node is asked when one is gone, so that one lost VM stops no operator', async t => {
+test('a call fails over to the next node when a node is unreachable', async t => {
   await withFakeNode(async node => {
     node.respondWith('GET /v1/status', { nodeId: 'n2' })
     t.deepEqual(await new NodeClient([UNREACHABLE_NODE_URL, node.address], 2_000).status(), { nodeId: 'n2' })
   })
 })
 
-test('the next node is asked when one shuts down, so that a rolling restart fails no command', async t => {
-  await withFakeNode(async stopping => {
+test('an idempotent call fails over when a node is shutting down, so that a rolling restart fails no command', async t => {
+  await withFakeNode(async stoppingNode => {
     const reply = errorReply({ kind: 'shutting_down', detail: 'this node is shutting down' })
-    stopping.replyHandlers.set('POST /v1/drains', () => reply)
-    stopping.replyHandlers.set('POST /v1/services/charge/requests', () => reply)
+    stoppingNode.replyHandlers.set('POST /v1/drains', () => reply)
+    stoppingNode.replyHandlers.set('POST /v1/services/charge/requests', () => reply)
     await withFakeNode(async node => {
       node.respondWith('POST /v1/drains', {}).respondWith('POST /v1/services/charge/requests', 'done')
-      const client = new NodeClient([stopping.address, node.address], 2_000)
+      const client = new NodeClient([stoppingNode.address, node.address], 2_000)
       await client.drain({ kind: 'vm', id: 'n1' })
       t.like(await captureProblem(client.sendRequest(chargeRequest)), { kind: 'refused', body: { error: 'shutting_down' } })
-      t.deepEqual(node.routes(), ['POST /v1/drains'])
+      t.deepEqual(node.calledRoutes(), ['POST /v1/drains'])
     })
-    const alone = new NodeClient([stopping.address, UNREACHABLE_NODE_URL], 2_000)
-    t.like(await captureProblem(alone.drain({ kind: 'vm', id: 'n1' })), { kind: 'refused', body: { error: 'shutting_down' } })
+    const failingClient = new NodeClient([stoppingNode.address, UNREACHABLE_NODE_URL], 2_000)
+    t.like(await captureProblem(failingClient.drain({ kind: 'vm', id: 'n1' })), { kind: 'refused', body: { error: 'shutting_down' } })
   })
 })
 
-test('a refusal does not hide that another node may have done the work', async t => {
-  await withFakeNode(async lost => {
-    lost.responsesToDrop = 1
-    await withFakeNode(async stopping => {
-      stopping.replyHandlers.set('POST /v1/drains', () => errorReply({ kind: 'shutting_down', detail: 'stops' }))
-      const client = new NodeClient([lost.address, stopping.address], 2_000)
+test('a refusal by one node does not hide that another node may have executed the call', async t => {
+  await withFakeNode(async droppingNode => {
+    droppingNode.responsesToDrop = 1
+    await withFakeNode(async stoppingNode => {
+      stoppingNode.replyHandlers.set('POST /v1/drains', () => errorReply({ kind: 'shutting_down', detail: 'stops' }))
+      const client = new NodeClient([droppingNode.address, stoppingNode.address], 2_000)
       t.like(await captureProblem(client.drain({ kind: 'vm', id: 'n1' })), { kind: 'unreachable', progress: 'maybe_sent' })
     })
   })
 })
 
-test('a non-repeatable request without a key goes out once, so that no page is charged twice', async t => {
+test('a non-repeatable request without a key is sent only once, so that it is never executed twice', async t => {
   await withFakeNode(async node => {
     node.responsesToDrop = 5
     const client = new NodeClient([node.address, node.address], 2_000)
     t.like(await captureProblem(client.sendRequest(chargeRequest)), { kind: 'unreachable', progress: 'maybe_sent' })
     t.is(node.calls.length, 1)
-    const dead = new NodeClient([UNREACHABLE_NODE_URL, node.address], 2_000)
-    t.like(await captureProblem(dead.sendRequest(chargeRequest)), { kind: 'unreachable', progress: 'not_sent' })
+    const failingClient = new NodeClient([UNREACHABLE_NODE_URL, node.address], 2_000)
+    t.like(await captureProblem(failingClient.sendRequest(chargeRequest)), { kind: 'unreachable', progress: 'not_sent' })
     t.is(node.calls.length, 1)
   })
 })
 
-test('a request with a key is sent again with the same key, so that a lost answer can be recovered', async t => {
+test('a request with an idempotency key is retried with the same key after a lost response', async t => {
   await withFakeNode(async node => {
     node.respondWith('POST /v1/services/charge/requests', 'done', 201, responseHeaders)
     node.responsesToDrop = 1
     const idempotencyKey = uuidV7(1_700_000_000_000)
-    const answer = await new NodeClient([node.address], 2_000).sendRequest({ ...chargeRequest, idempotencyKey })
-    t.like(answer, { status: 201, requestId: 'r1', attempts: 2, claim: 'none' })
+    const response = await new NodeClient([node.address], 2_000).sendRequest({ ...chargeRequest, idempotencyKey })
+    t.like(response, { status: 201, requestId: 'r1', attempts: 2, claim: 'none' })
     t.deepEqual(node.calls.map(call => call.headers['idempotency-key']), [idempotencyKey, idempotencyKey])
     t.regex(idempotencyKey, /^018bcfe5-6800-7[0-9a-f]{3}-[89ab][0-9a-f]{3}-[0-9a-f]{12}$/)
   })
 })
 
-test('an error answer of a backend server is passed on, so that it is not taken for a refusal', async t => {
+test('an error response of a backend server is returned and not mistaken for a refusal by the node', async t => {
   await withFakeNode(async node => {
     node.respondWith('POST /v1/services/charge/requests', { error: 'no toner' }, 422, responseHeaders)
-    const answer = await new NodeClient([node.address], 2_000).sendRequest(chargeRequest)
-    t.is(answer.status, 422)
+    const response = await new NodeClient([node.address], 2_000).sendRequest(chargeRequest)
+    t.is(response.status, 422)
     node.replyHandlers.set('POST /v1/services/charge/requests', () => errorReply({ kind: 'queue_full', detail: 'full' }))
     const problem = await captureProblem(new NodeClient([node.address], 2_000).sendRequest(chargeRequest))
     t.is(problem.kind === 'refused' ? problem.body.error : '', 'queue_full')
   })
 })
 
-test('an answer of another kind of server is reported as such, so that no wrong value is shown', async t => {
+test('a response that is not from a node is reported as unexpected instead of being shown as a value', async t => {
   await withFakeNode(async node => {
     node.respondWith('GET /v1/fleet', '<html>')
     t.like(await captureProblem(new NodeClient([node.address], 2_000).fleet()), { kind: 'unexpected', status: 200 })
--- a/packages/documents/src/yaml-file.ts
+++ b/packages/documents/src/yaml-file.ts
@@ -1,4 +1,4 @@
-/** Reads a YAML (or JSON) file against a schema and reports every error at once. */
+/** Validates a YAML or JSON file against a schema and reports all errors at once, each with its line. */
 import { isMap, isNode, isScalar, LineCounter, parseDocument, type Document } from 'yaml'
 import { z } from 'zod'
 
@@ -6,35 +6,35 @@
 export interface FileProblem {
   readonly file: string
   readonly line: number
-  /** Path of the field, for example `workers[3].cores`; empty for syntax. */
+  /** Path of the field, for example `workers[3].cores`; empty for a syntax error. */
   readonly field: string
   readonly found: string
   readonly allowed: string
 }
 
-/** Position of a value in a document. */
+/** Path of a value in a document: field names and array indexes. */
 export type FieldPath = ReadonlyArray<string | number>
 
-/** What a check finds wrong with one field. */
+/** An error in one field, without its position in the file. */
 export interface FieldProblem {
   readonly path: FieldPath
   readonly found: string
   readonly allowed: string
 }
 
-/** A valid value, or all that is wrong with the file. */
+/** The validated value, or all errors in the file. */
 export type FileReading<T> =
   | { readonly kind: 'valid', readonly value: T }
   | { readonly kind: 'invalid', readonly problems: readonly FileProblem[] }
 
-/** What is found where a field is not one of the schema's. */
+/** Text for `found` when the schema has no such field. */
 export const UNKNOWN_FIELD = 'an unknown field'
 
-/** Longest piece of a found value that is shown. */
+/** Longer values are truncated in messages. */
 const MAX_FOUND_VALUE_CHARACTERS = 80
 
 /**
- * Checks a text against a schema, then by `check`, which sees only values that have the right shape.
+ * Parses a text and validates it against a schema, then with `check`, which is called only when the schema matches.
  *
  * @example
  * readYaml('jobs.yaml', text, jobSchema, () => [])
@@ -47,7 +47,9 @@
   if (document.errors.length > 0) return { kind: 'invalid', problems: toSyntaxProblems(file, text, document) }
   const data: unknown = document.toJS()
   const parsed = schema.safeParse(data)
-  const fieldProblems = parsed.success ? check(parsed.data) : parsed.error.issues.flatMap(issue => toFieldProblems(issue, data, schema))
+  const fieldProblems = parsed.success
+    ? check(parsed.data)
+    : parsed.error.issues.flatMap(issue => toFieldProblems(issue, data, schema))
   const problems = fieldProblems.map(({ path, ...problem }) => (
     { file, line: findLine(document, lineCounter, path), field: formatPath(path), ...problem }))
   if (parsed.success && problems.length === 0) return { kind: 'valid', value: parsed.data }
@@ -55,7 +57,7 @@
 }
 
 /**
- * Gives a problem as one line.
+ * Formats a problem as one line.
  *
  * @example
  * formatFileProblem(problem) // 'a.yaml:7: rules.maxGangTasks: found 65, allowed at most 64'
@@ -90,7 +92,7 @@
     case 'too_small': return `at least ${issue.minimum}`
     case 'too_big': return `at most ${issue.maximum}`
     case 'invalid_format':
-      // A schema's own words say more than its pattern.
+      // A message that the schema defines itself explains more than its pattern.
       if (!issue.message.startsWith('Invalid ')) return issue.message
       return issue.pattern === undefined ? `text of the format ${issue.format}` : `text that matches ${issue.pattern}`
     case 'invalid_value': return issue.values.map(String).join(' | ')
@@ -98,7 +100,7 @@
   }
 }
 
-/** Follows a path through object and array schemas to the fields that are allowed there. */
+/** Returns the fields that the schema allows at a path. */
 function findKnownFields (schema: z.ZodType, path: FieldPath): string[] {
   let current = unwrapSchema(schema)
   for (const step of path) {
@@ -108,7 +110,7 @@
   return current instanceof z.ZodObject ? Object.keys(current.shape) : []
 }
 
-/** The schema behind defaults, which does not have its own fields. */
+/** Removes optional and default wrappers, which do not expose the fields of the schema inside. */
 function unwrapSchema (schema: unknown): unknown {
   const isWrapped = schema instanceof z.ZodOptional || schema instanceof z.ZodDefault || schema instanceof z.ZodPrefault
   return isWrapped ? unwrapSchema(schema.unwrap()) : schema
@@ -130,7 +132,7 @@
   return path.map(step => typeof step === 'number' ? `[${step}]` : `.${step}`).join('').replace(/^\./, '')
 }
 
-/** A field that is missing has no line of its own, so the nearest enclosing value gives it. */
+/** Returns the line of a value; for a missing field, the line of the nearest enclosing value. */
 function findLine (document: Document, lineCounter: LineCounter, path: FieldPath): number {
   for (let depth = path.length; depth >= 0; depth--) {
     const offset = findOffset(document, path.slice(0, depth))
--- a/packages/documents/test/yaml-file.test.ts
+++ b/packages/documents/test/yaml-file.test.ts
@@ -9,16 +9,16 @@
 })
 
 function formatProblems (text: string): string[] {
-  const reading = readYaml('f.yaml', text, schema, () => [])
-  return reading.kind === 'valid' ? [] : reading.problems.map(formatFileProblem)
+  const result = readYaml('f.yaml', text, schema, () => [])
+  return result.kind === 'valid' ? [] : result.problems.map(formatFileProblem)
 }
 
-test('an unknown field of a section with defaults is refused with the fields that the section has', t => {
+test('the error for an unknown field in a section with defaults lists the fields of that section', t => {
   t.deepEqual(formatProblems('limits:\n  maxBytez: 7\n'),
     ['f.yaml:2: limits.maxBytez: found an unknown field, allowed the fields maxBytes, address'])
 })
 
-test('a value of a wrong format says what is allowed in words, so that it can be mended without the code', t => {
+test('the error for a value of a wrong format describes the allowed format in words instead of as a pattern', t => {
   t.deepEqual(formatProblems('limits: { address: nowhere }\nhosts:\n  - 127.0.0.1\n  - localhost\nname: N1\n'), [
     'f.yaml:1: limits.address: found "nowhere", allowed text of the format url',
     'f.yaml:4: hosts[1]: found "localhost", allowed an IP address',
@@ -26,10 +26,10 @@
   ])
 })
 
-test('checks beyond the schema see only values of the right shape, so that none of them fails on a missing field', t => {
+test('the additional check is not called on a value that fails the schema, so it cannot crash on a missing field', t => {
   const check = () => [{ path: ['limits', 'maxBytes'], found: '9', allowed: 'less than hosts' }]
-  const reading = readYaml('f.yaml', 'hosts: []\nlimits:\n  maxBytes: 9\n', schema, check)
-  t.deepEqual(reading.kind === 'invalid' ? reading.problems.map(formatFileProblem) : [],
+  const result = readYaml('f.yaml', 'hosts: []\nlimits:\n  maxBytes: 9\n', schema, check)
+  t.deepEqual(result.kind === 'invalid' ? result.problems.map(formatFileProblem) : [],
     ['f.yaml:3: limits.maxBytes: found 9, allowed less than hosts'])
   t.is(readYaml('f.yaml', 'hosts: 1\n', schema, () => { throw new Error('was called') }).kind, 'invalid')
 })
--- a/scripts/bundle.d.mts
+++ b/scripts/bundle.d.mts
@@ -1,2 +1,2 @@
-/** Writes the bundle of the process for the users' platform to `outfile`. */
+/** Bundles `platform/src/main.ts` into `outfile`. */
 export declare function bundle (outfile: string): Promise<void>
--- a/scripts/bundle.mjs
+++ b/scripts/bundle.mjs
@@ -1,8 +1,7 @@
-/** Bundles the process for the users' platform into one file, for a quick start and little memory. */
+/** Bundles `platform/src/main.ts` into one file, which starts faster and uses less memory than separate modules. */
 import { pathToFileURL } from 'node:url'
 import { build } from 'esbuild'
 
-/** Writes the bundle to `outfile`. */
 export async function bundle (outfile) {
   await build({
     entryPoints: ['platform/src/main.ts'],
@@ -13,7 +12,7 @@
     format: 'esm',
     conditions: ['source'],
     minifySyntax: true,
-    // Dependencies that are CommonJS modules call require() for modules of Node.js.
+    // CommonJS dependencies call require(), which an ES module lacks, for built-in modules of Node.js.
     banner: {
       js: "import { createRequire as createBundleRequire } from 'node:module'; " +
         'const require = createBundleRequire(import.meta.url);'
--- a/scripts/run-tests.ts
+++ b/scripts/run-tests.ts
@@ -1,5 +1,5 @@
 /**
- * Runs the test suite and decides the verdict of a continuous integration run.
+ * Runs the test suite and sets the exit code for continuous integration.
  *
  * A failing test fails the run unless `KNOWN-RED.txt` lists its title; listed failures are printed.
  * A listed test that passes fails the run too, so that stale entries are removed.
@@ -8,16 +8,16 @@
 import { readFileSync } from 'node:fs'
 import { Parser } from 'tap-parser'
 
-const KNOWN_RED_PREFIX = 'test: '
+const KNOWN_FAILURE_PREFIX = 'test: '
 
-function readKnownRed (): Set<string> {
-  const entries = readFileSync('KNOWN-RED.txt', 'utf8').split('\n').filter(line => line.startsWith(KNOWN_RED_PREFIX))
-  return new Set(entries.map(line => line.slice(KNOWN_RED_PREFIX.length).trim()))
+function readKnownFailures (): Set<string> {
+  const entries = readFileSync('KNOWN-RED.txt', 'utf8').split('\n').filter(line => line.startsWith(KNOWN_FAILURE_PREFIX))
+  return new Set(entries.map(line => line.slice(KNOWN_FAILURE_PREFIX.length).trim()))
 }
 
 interface Assertion { ok: boolean, name: string, diag?: unknown }
 
-const knownRed = readKnownRed()
+const knownFailures = readKnownFailures()
 const passed: string[] = []
 const failed: Assertion[] = []
 const child = spawn(process.execPath,
@@ -32,10 +32,10 @@
 child.stdout.pipe(parser)
 
 child.on('close', code => {
-  const unexpected = failed.filter(assertion => !knownRed.has(assertion.name))
-  const stale = passed.filter(name => knownRed.has(name))
+  const unexpected = failed.filter(assertion => !knownFailures.has(assertion.name))
+  const stale = passed.filter(name => knownFailures.has(name))
   for (const assertion of failed) {
-    console.log(`${knownRed.has(assertion.name) ? 'KNOWN RED' : 'FAILED'}: ${assertion.name}`)
+    console.log(`${knownFailures.has(assertion.name) ? 'KNOWN RED' : 'FAILED'}: ${assertion.name}`)
     console.log(JSON.stringify(assertion.diag, null, 2))
   }
   for (const name of stale) console.log(`listed in KNOWN-RED.txt but passing: ${name}`)
