--- a/packages/cli/src/answers.ts
+++ b/packages/cli/src/api-types.ts
@@ -1,22 +1,25 @@
-/** Bodies of the node's answers as they travel; see docs/api.md. Kept apart from `control`, as any client is. */
+/**
+ * Request and response bodies of the node's HTTP API (docs/api.md). Like any other client, the command line has its own
+ * types instead of importing those of `control`.
+ */
 import type {
   BackendServerRecord, ConfigurationDocument, JobOutcome, JobPhase, JobSpec, Placement, WorkerState
 } from '@comfreygrade/core'
 
-/** Answer of `GET /v1/configuration`. */
-export interface ConfigurationAnswer {
+/** Response of `GET /v1/configuration`. */
+export interface ConfigurationResponse {
   readonly version: number
   readonly document: ConfigurationDocument
 }
 
-/** Answer of `POST /v1/configuration/changes`. */
-export interface ChangeAnswer {
+/** Response of `POST /v1/configuration/changes`. */
+export interface ChangeResponse {
   readonly version: number
   readonly isDryRun: boolean
 }
 
-/** Answer of `GET /v1/configuration/status`. */
-export interface ConfigurationStatusAnswer {
+/** Response of `GET /v1/configuration/status`. */
+export interface ConfigurationStatusResponse {
   readonly version: number
   readonly isInForceEverywhere: boolean
   readonly nodes: ReadonlyArray<{
@@ -26,7 +29,7 @@
   }>
 }
 
-/** A job as callers see it. */
+/** A job as the API reports it. */
 export interface JobAnswer {
   readonly spec: JobSpec
   readonly phase: JobPhase
@@ -38,14 +41,14 @@
   readonly changedLogMs: number
 }
 
-/** Answer of `GET /v1/jobs` and `GET /v1/queue`; `total` counts what the limit left out too. */
-export interface JobsAnswer {
+/** Response of `GET /v1/jobs` and `GET /v1/queue`; `total` includes the jobs beyond the limit. */
+export interface JobListResponse {
   readonly jobs: readonly JobAnswer[]
   readonly total: number
 }
 
-/** What an organisation's guarantee holds and lends. */
-export interface GuaranteeAnswer {
+/** Usage of a capacity guarantee: its cells, those in use, and the accelerators lent to other organisations. */
+export interface GuaranteeSummary {
   readonly guaranteeId: string
   readonly organisationId: string
   readonly acceleratorModel: string
@@ -56,56 +59,55 @@
   readonly missingCells: number
 }
 
-/** Totals of the fleet. */
-export interface FleetReportAnswer {
+/** Totals over all workers, and the usage of every guarantee. */
+export interface FleetSummary {
   readonly accelerators: number
   readonly acceleratorsInUse: number
   readonly acceleratorsLost: number
   readonly fragmentation: number
   readonly waitingJobs: number
   readonly runningJobs: number
-  readonly guarantees: readonly GuaranteeAnswer[]
+  readonly guarantees: readonly GuaranteeSummary[]
   readonly quarantinedWorkerIds: readonly string[]
   readonly drainingWorkerIds: readonly string[]
 }
 
-/** A worker as operators see it. */
-export interface WorkerAnswer {
+/** A worker in the response of `GET /v1/fleet`. */
+export interface WorkerSummary {
   readonly workerId: string
   readonly state: WorkerState
   readonly address: string
   readonly tasks: number
 }
 
-/** What can be drained. */
+/** Kinds of resources that can be drained. */
 export const drainKinds = ['vm', 'worker', 'backend-server'] as const
 
-/** Kind of a drained part. */
 export type DrainKind = typeof drainKinds[number]
 
-/** A drain that an operator asked for. */
-export interface DrainAnswer {
+/** A resource that an operator has drained. */
+export interface Drain {
   readonly kind: DrainKind
   readonly id: string
 }
 
-/** Answer of `GET /v1/fleet`. */
-export interface FleetAnswer {
-  readonly report: FleetReportAnswer
-  readonly workers: readonly WorkerAnswer[]
-  readonly drains: readonly DrainAnswer[]
+/** Response of `GET /v1/fleet`. */
+export interface FleetResponse {
+  readonly report: FleetSummary
+  readonly workers: readonly WorkerSummary[]
+  readonly drains: readonly Drain[]
   readonly backendServers: readonly BackendServerRecord[]
 }
 
-/** Answer of `GET /v1/claims/{organisation}/{key}`; the body of the recorded answer is base64. */
-export interface ClaimAnswer {
+/** Response of `GET /v1/claims/{organisation}/{key}`; the body of the recorded response is base64. */
+export interface ClaimResponse {
   readonly organisationId: string
   readonly key: string
   readonly state: 'pending' | 'completed' | 'not_run' | 'unknown'
   readonly answer: { readonly status: number, readonly contentType: string, readonly body: string } | null
 }
 
-/** Answer of `GET /v1/status`: values by name, nested objects allowed. */
+/** Response of `GET /v1/status`. */
 export interface StatusAnswer {
   readonly nodeId: string
   readonly region: string
@@ -130,7 +132,7 @@
   readonly counters: Readonly<Record<string, number>>
 }
 
-/** Answer to a short request: the backend server's answer and what the system adds in headers. */
+/** Response to a short request: the backend server's response and the values of the node's own headers. */
 export interface ShortRequestAnswer {
   readonly status: number
   readonly contentType: string
--- a/packages/cli/src/command.ts
+++ b/packages/cli/src/command.ts
@@ -1,10 +1,10 @@
-/** What every command of the command line has in common. */
+/** Base classes of the commands. */
 import type { ExitReason } from './exit.js'
 import type { NodeClient } from './node-client.js'
 import type { Output, Streams } from './output.js'
 import { type FileReading, formatFileProblem } from '@comfreygrade/documents'
 
-/** Options of the command line. */
+/** Parsed flags of the command line. */
 export interface CommandOptions {
   readonly json: boolean
   readonly phase?: string
@@ -19,14 +19,14 @@
   readonly withNode: boolean
 }
 
-/** What a command works with. */
+/** Everything that a command can use. */
 export interface CommandContext {
   readonly client: NodeClient
   readonly output: Output
   readonly streams: Streams
   readonly options: CommandOptions
-  /** Values of `parameters`, in their order. */
-  readonly values: readonly string[]
+  /** Positional arguments, in the order of `parameters`. */
+  readonly args: readonly string[]
   readFile (file: string): Promise<string>
 }
 
@@ -34,39 +34,39 @@
 export abstract class Command {
   /** Words that select the command. */
   abstract readonly words: readonly string[]
-  /** Names of what follows the words. */
+  /** Names of the positional arguments that follow the words. */
   readonly parameters: readonly string[] = []
-  /** One line for the help page. */
+  /** One-line description in the help text. */
   abstract readonly summary: string
 
-  /** Carries the command out; a failed call is thrown as a `ClientError` and reported by the caller. */
+  /** Runs the command; throws a `ClientError` when a call to a node fails, which the caller reports. */
   abstract run (context: CommandContext): Promise<ExitReason>
 
-  /** Form of the command for the help page. */
+  /** Synopsis in the help text. */
   get usage (): string {
     return [...this.words, ...this.parameters].join(' ')
   }
 }
 
-/** A command that asks a node once and shows the answer. */
-export abstract class ShowCommand<T> extends Command {
+/** A command that makes one call to a node and shows the response. */
+export abstract class SingleCallCommand<T> extends Command {
   override async run (context: CommandContext): Promise<ExitReason> {
-    const answer = await this.fetch(context)
-    context.output.show(answer, () => this.render(answer, context))
+    const response = await this.fetch(context)
+    context.output.writeResult(response, () => this.render(response, context))
     return 'done'
   }
 
   protected abstract fetch (context: CommandContext): Promise<T>
-  /** Gives the answer as text for people. */
-  protected abstract render (answer: T, context: CommandContext): string
+  /** Formats the response as text. */
+  protected abstract render (response: T, context: CommandContext): string
 }
 
-/** A command whose first parameter is a file; an invalid one ends it. */
+/** A command whose first argument is a file; exits with `usage` when the file is missing or invalid. */
 export abstract class FileCommand<T> extends Command {
   override readonly parameters: readonly string[] = ['FILE']
 
   override async run (context: CommandContext): Promise<ExitReason> {
-    const value = await readInput(context, context.values[0] ?? '', (file, text) => this.parse(file, text))
+    const value = await readInput(context, context.args[0] ?? '', (file, text) => this.parse(file, text))
     return value === undefined ? 'usage' : await this.runWith(value, context)
   }
 
@@ -75,20 +75,20 @@
 }
 
 /**
- * Reads a file (`-` is stdin) and reports all of its problems.
+ * Reads and parses a file (`-` is stdin) and reports all errors in it.
  *
- * @returns undefined where the file is missing or invalid
+ * @returns undefined when the file is missing or invalid
  */
 async function readInput<T> (
   { output, streams, readFile }: CommandContext, file: string, parse: (file: string, text: string) => FileReading<T>
 ): Promise<T | undefined> {
   try {
     const text = file === '-' ? (await streams.readStdin()).toString('utf8') : await readFile(file)
-    const reading = parse(file, text)
-    if (reading.kind === 'valid') return reading.value
-    output.problem({ problems: reading.problems }, reading.problems.map(formatFileProblem).join('\n'))
+    const result = parse(file, text)
+    if (result.kind === 'valid') return result.value
+    output.writeProblem({ problems: result.problems }, result.problems.map(formatFileProblem).join('\n'))
   } catch (error) {
-    output.problem({ problems: [{ file, detail: String(error) }] }, `${file}: ${String(error)}`)
+    output.writeProblem({ problems: [{ file, detail: String(error) }] }, `${file}: ${String(error)}`)
   }
   return undefined
 }
--- a/packages/cli/test/fake-node.ts
+++ b/packages/cli/test/fake-node.ts
@@ -1,24 +1,24 @@
-/** A fake node: answers by method and path, records calls, and can lose an answer. */
+/** A fake node: responds by method and path, records calls, and can drop responses. */
 import { once } from 'node:events'
 import { createServer, type IncomingMessage, type ServerResponse } from 'node:http'
 import type { AddressInfo } from 'node:net'
 import { errorBody, errorTable, type Failure } from '@comfreygrade/core'
 import { type ExitReason, runCommandLine } from '../src/index.js'
 
-export interface Call { route: string, headers: IncomingMessage['headers'], text: string }
+export interface RecordedCall { route: string, headers: IncomingMessage['headers'], text: string }
 
 export interface Reply { status: number, body: unknown, headers?: Record<string, string> }
 
-export function refusal (failure: Failure): Reply {
+export function errorReply (failure: Failure): Reply {
   return { status: errorTable[failure.kind].httpStatus, body: errorBody(failure) }
 }
 
 export class FakeNode {
-  readonly calls: Call[] = []
-  /** Answers by `METHOD path`; a call without one is answered with `not_found`. */
-  readonly replies = new Map<string, (call: Call) => Reply>()
-  /** Calls that are carried out but whose connection is cut before the answer. */
-  answersToLose = 0
+  readonly calls: RecordedCall[] = []
+  /** Reply functions by `METHOD path`; other calls are refused with `not_found`. */
+  readonly replyHandlers = new Map<string, (call: RecordedCall) => Reply>()
+  /** Number of next calls that are executed but whose connection is closed before the response. */
+  responsesToDrop = 0
   readonly #server = createServer((request, response) => { this.#handle(request, response).catch(() => {}) })
 
   get address (): string {
@@ -36,12 +36,12 @@
     this.#server.closeAllConnections()
   }
 
-  on (route: string, body: unknown, status = 200, headers?: Record<string, string>): this {
-    this.replies.set(route, () => ({ status, body, headers }))
+  respondWith (route: string, body: unknown, status = 200, headers?: Record<string, string>): this {
+    this.replyHandlers.set(route, () => ({ status, body, headers }))
     return this
   }
 
-  routes (): string[] {
+  calledRoutes (): string[] {
     return this.calls.map(call => call.route)
   }
 
@@ -50,8 +50,8 @@
     for await (const chunk of request) text += String(chunk)
     const call = { route: `${request.method} ${request.url}`, headers: request.headers, text }
     this.calls.push(call)
-    const reply = this.replies.get(call.route)?.(call) ?? refusal({ kind: 'not_found', detail: call.route })
-    if (this.answersToLose-- > 0) {
+    const reply = this.replyHandlers.get(call.route)?.(call) ?? errorReply({ kind: 'not_found', detail: call.route })
+    if (this.responsesToDrop-- > 0) {
       request.socket.destroy()
       return
     }
@@ -60,16 +60,16 @@
   }
 }
 
-export interface Run { reason: ExitReason, out: string, problems: string }
+export interface CommandResult { reason: ExitReason, stdout: string, stderr: string }
 
-/** Runs a command line against nodes and collects what it writes. */
-export async function run (nodes: readonly string[], argv: readonly string[], stdin = ''): Promise<Run> {
-  let out = ''
-  let problems = ''
+/** Runs a command line against nodes and captures its output. */
+export async function runCommand (nodes: readonly string[], argv: readonly string[], stdin = ''): Promise<CommandResult> {
+  let stdout = ''
+  let stderr = ''
   const reason = await runCommandLine([...argv, ...nodes.flatMap(node => ['--node', node])], {
     readStdin: async () => Buffer.from(stdin),
-    write: text => { out += String(text) },
-    writeError: text => { problems += text }
+    write: text => { stdout += String(text) },
+    writeError: text => { stderr += text }
   })
-  return { reason, out, problems }
+  return { reason, stdout, stderr }
 }
