--- a/packages/batch-node/src/batch-node.ts
+++ b/packages/batch-node/src/batch-node.ts
@@ -1,44 +1,45 @@
-/** Wires the parts of one process: links, control role where it has a disk, and the way to the leader. */
+/** Connects the parts of one process: peer links, leader client and, if the process has a disk, the control service. */
 import type { BatchOperation, BatchResult, WorkerReport } from '@comfreygrade/batch'
 import type { VoterId } from '@comfreygrade/consensus'
 import { PeerLinks, type PeerAddress } from '@comfreygrade/node/adapters'
 import { BatchService, type BatchServiceOptions } from './batch-service.js'
 import type { ControlDisk } from './control-disk.js'
-import { ControlMembers } from './control-members.js'
+import { ControlMembership } from './control-membership.js'
 import { LeaderClient } from './leader-client.js'
-import type { Ask, AskAnswer, BatchMessage, ControlNodeInfo } from './messages.js'
+import type { LeaderRequest, LeaderResponse, BatchMessage, ControlNodeInfo } from './messages.js'
 
 /** Options of {@link BatchNode}. */
 export interface BatchNodeOptions extends Omit<BatchServiceOptions, 'self' | 'storage' | 'recovered' | 'send'> {
   readonly nodeId: string
   readonly host: string
   readonly port: number
-  /** Control nodes to start from. */
+  /** Control nodes that are dialled at the start, from which all others are discovered. */
   readonly seeds: readonly PeerAddress[]
-  /** Absent on a process without a disk. */
+  /** Absent on a process without a disk, which never becomes a control node. */
   readonly disk?: ControlDisk
-  readonly wantedVoters: number
+  /** Number of voters if there are enough control nodes. */
+  readonly targetVoterCount: number
 }
 
-/** Interval of `hello`, which also tells processes of new control nodes. */
+/** Interval of `hello` messages, through which processes also discover new control nodes. */
 const HELLO_INTERVAL_MS = 1_000
-/** Interval at which links are checked for silence. */
+/** Interval of pings on a link. */
 const LINK_PING_INTERVAL_MS = 300
-/** A link without a sign of life for this long is replaced: open connections may go silent for good. */
+/** A link that has received nothing for this long is replaced, since an open connection may go silent permanently. */
 const LINK_SILENCE_MS = 1_100
 const LINK_REDIAL_MS = 150
-/** Time for the other voters to hear that leadership was handed over. */
-const STEP_DOWN_MS = 250
-/** A voter that has been silent for this long is replaced where there is a standby. */
-const REPLACE_AFTER_MS = 2_500
+/** Time between stepping down and closing the links, in which the transfer of leadership reaches the other voters. */
+const LEADERSHIP_TRANSFER_MS = 250
+/** A voter that has been silent for this long is replaced if there is a standby. */
+const VOTER_REPLACE_AFTER_MS = 2_500
 
 /** One process of the batch scheduler. */
 export class BatchNode {
   readonly #options: BatchNodeOptions
   readonly #links: PeerLinks<BatchMessage>
-  readonly #members: ControlMembers
+  readonly #membership: ControlMembership
   readonly #service: BatchService | undefined
-  readonly #client: LeaderClient
+  readonly #leaderClient: LeaderClient
   readonly #startedWallMs: number
   #leaderHint: string | null = null
   #helloTimer: NodeJS.Timeout | undefined
@@ -47,69 +48,73 @@
     this.#options = options
     const { clock, metrics, nodeId } = options
     this.#startedWallMs = Math.floor(clock.wallMs())
-    this.#members = new ControlMembers({ clock, wantedVoters: options.wantedVoters, replaceAfterMs: REPLACE_AFTER_MS })
+    this.#membership = new ControlMembership({
+      clock, targetVoterCount: options.targetVoterCount, replaceSilentAfterMs: VOTER_REPLACE_AFTER_MS
+    })
     this.#links = this.#createLinks()
     this.#service = this.#createService()
-    this.#client = new LeaderClient({
+    this.#leaderClient = new LeaderClient({
       nodeId,
       clock,
       metrics,
-      candidates: () => this.#candidates(),
+      candidates: () => this.#leaderCandidates(),
       send: (to, message) => this.#links.send(to, message),
-      askLocal: async ask => await this.#askLocal(ask),
-      leaderHinted: leaderNodeId => { this.#leaderHint = leaderNodeId }
+      handleLocally: async request => await this.#handleLocally(request),
+      onLeaderHint: leaderNodeId => { this.#leaderHint = leaderNodeId }
     })
   }
 
-  /** Listens and dials the seeds. */
+  /** Starts listening and dials the seeds. */
   async start (): Promise<void> {
     await this.#links.start()
-    this.#helloTimer = setInterval(() => { this.#everySecond() }, HELLO_INTERVAL_MS)
+    this.#helloTimer = setInterval(() => { this.#runPeriodicTasks() }, HELLO_INTERVAL_MS)
   }
 
-  /** Carries out an operation of a caller or an operator. */
-  async operate (operation: BatchOperation, timeoutMs: number): Promise<BatchResult> {
-    return await this.#client.operate(operation, timeoutMs)
+  /** Executes an operation of a client or an operator on the leader. */
+  async execute (operation: BatchOperation, timeoutMs: number): Promise<BatchResult> {
+    return await this.#leaderClient.execute(operation, timeoutMs)
   }
 
-  /** Hands a heartbeat to the leader; undefined where none answered. */
-  async report (report: WorkerReport, timeoutMs: number): Promise<Extract<AskAnswer, { kind: 'orders' }> | undefined> {
-    const answer = await this.#client.askOnce({ kind: 'report', report }, timeoutMs)
-    return answer?.kind === 'orders' ? answer : undefined
+  /** Forwards a heartbeat to the leader; resolves to undefined if no leader answered. */
+  async forwardHeartbeat (report: WorkerReport, timeoutMs: number): Promise<Extract<LeaderResponse, { kind: 'orders' }> | undefined> {
+    const response = await this.#leaderClient.requestOnce({ kind: 'report', report }, timeoutMs)
+    return response?.kind === 'orders' ? response : undefined
   }
 
-  /** Tells the leader that a worker has left. */
-  async workerLeft (workerId: string, timeoutMs: number): Promise<boolean> {
-    return await this.#client.askOnce({ kind: 'worker_left', workerId }, timeoutMs) !== undefined
+  /** Tells the leader that a worker has left; resolves to whether a leader answered. */
+  async forwardWorkerLeft (workerId: string, timeoutMs: number): Promise<boolean> {
+    return await this.#leaderClient.requestOnce({ kind: 'worker_left', workerId }, timeoutMs) !== undefined
   }
 
-  /** Whether a control node is connected, so that requests can be served. */
+  /** Whether this process knows a leader or has a connected peer, so that it can serve requests. */
   get isConnected (): boolean {
     return this.#service?.leaderNodeId != null || this.#links.connectedNodeIds().length > 0
   }
 
-  /** Control nodes that may be lost now with nothing lost; null on a process that does not lead. */
+  /** How many more voters may fail without loss of data or service; null on a process that does not lead. */
   get survivableLosses (): number | null {
     return this.#service?.replica?.survivableLosses ?? null
   }
 
-  /** Voters as this process knows them; empty on a process without a disk. */
+  /** Voter set as known to this process; empty on a process without a disk. */
   get voters (): readonly VoterId[] {
     return this.#service?.replica?.voters ?? []
   }
 
-  /** Dials seeds that the settings name now. */
-  setSeeds (seeds: readonly PeerAddress[]): void {
+  /** Dials seeds that were added to the settings while the process runs. */
+  addSeeds (seeds: readonly PeerAddress[]): void {
     for (const seed of seeds) this.#links.addPeer(seed)
   }
 
-  /** Hands leadership over and closes everything. */
+  /** Announces the shutdown, transfers leadership, then stops the control service and closes the links. */
   async stop (): Promise<void> {
     clearInterval(this.#helloTimer)
-    const voter = this.#controlInfo()?.voter
+    const voter = this.#ownControlInfo()?.voter
     if (voter !== undefined) this.#links.broadcast({ kind: 'leaving', voter })
     this.#service?.stepDown()
-    await new Promise<void>(resolve => { setTimeout(resolve, this.#service === undefined ? 0 : STEP_DOWN_MS) })
+    await new Promise<void>(resolve => {
+      setTimeout(resolve, this.#service === undefined ? 0 : LEADERSHIP_TRANSFER_MS)
+    })
     await this.#service?.stop()
     await this.#links.stop()
   }
@@ -128,10 +133,10 @@
       clock,
       metrics,
       log,
-      hello: () => this.#hello(),
+      hello: () => this.#helloMessage(),
       onMessage: (from, message) => { this.#receive(from, message) },
       onConnect: () => {},
-      onDisconnect: from => { this.#client.disconnected(from) }
+      onDisconnect: from => { this.#leaderClient.handleDisconnect(from) }
     })
   }
 
@@ -148,20 +153,20 @@
   }
 
   #receive (from: string, message: BatchMessage): void {
-    this.#members.heard(from)
+    this.#membership.recordContact(from)
     switch (message.kind) {
       case 'hello': this.#receiveHello(message); break
       case 'members': this.#receiveMembers(message); break
-      case 'raft': this.#service?.receiveRaft(message); break
-      case 'ask': this.#answerPeer(from, message); break
-      case 'answer': this.#client.receive(message); break
-      case 'leaving': this.#members.leaving(from); this.#adjustVoters(); break
+      case 'raft': this.#service?.receiveRaftMessage(message); break
+      case 'ask': this.#handlePeerRequest(from, message); break
+      case 'answer': this.#leaderClient.receiveResponse(message); break
+      case 'leaving': this.#membership.markLeaving(from); this.#adjustVoters(); break
     }
   }
 
   #receiveHello ({ nodeId, control }: Extract<BatchMessage, { kind: 'hello' }>): void {
     if (control !== null) {
-      this.#members.announce(control)
+      this.#membership.recordAnnouncement(control)
       this.#links.addPeer(control)
     }
     if (this.#service === undefined) return
@@ -173,36 +178,36 @@
     if (leaderNodeId !== null) this.#leaderHint = leaderNodeId
     for (const node of nodes) {
       if (node.nodeId === this.#options.nodeId) continue
-      this.#members.learn(node)
+      this.#membership.addIfUnknown(node)
       this.#links.addPeer(node)
     }
   }
 
   #knownNodes (): ControlNodeInfo[] {
-    const own = this.#controlInfo()
-    const known = this.#members.nodes(this.voters)
+    const own = this.#ownControlInfo()
+    const known = this.#membership.currentNodes(this.voters)
     return own === null ? known : [own, ...known]
   }
 
-  #controlInfo (): ControlNodeInfo | null {
+  #ownControlInfo (): ControlNodeInfo | null {
     const { disk, nodeId, host, port } = this.#options
     if (disk === undefined) return null
     const voter = { nodeId, diskId: disk.diskId }
     return { nodeId, host, port, voter, startedWallMs: this.#startedWallMs }
   }
 
-  #hello (): BatchMessage {
-    return { kind: 'hello', nodeId: this.#options.nodeId, control: this.#controlInfo(), readsNumberedFields: true }
+  #helloMessage (): BatchMessage {
+    return { kind: 'hello', nodeId: this.#options.nodeId, control: this.#ownControlInfo(), readsNumberedFields: true }
   }
 
-  #everySecond (): void {
-    this.#links.broadcast(this.#hello())
+  #runPeriodicTasks (): void {
+    this.#links.broadcast(this.#helloMessage())
     this.#adjustVoters()
-    this.#dropForgottenPeers()
+    this.#removeForgottenPeers()
   }
 
-  /** Nodes that are gone for good are not dialled for ever; seeds always are. */
-  #dropForgottenPeers (): void {
+  /** Stops dialling nodes that the membership has forgotten. Seeds are dialled indefinitely. */
+  #removeForgottenPeers (): void {
     const { seeds } = this.#options
     const known = new Set([...this.#knownNodes(), ...seeds].map(node => node.nodeId))
     for (const nodeId of this.#links.peerNodeIds()) if (!known.has(nodeId)) this.#links.removePeer(nodeId)
@@ -210,25 +215,25 @@
 
   #adjustVoters (): void {
     const service = this.#service
-    const own = this.#controlInfo()
+    const own = this.#ownControlInfo()
     if (service === undefined || own === null || !service.isActiveLeader) return
-    const change = this.#members.nextVoterChange(this.voters, own.voter)
+    const change = this.#membership.nextVoterChange(this.voters, own.voter)
     if (change === undefined) return
-    this.#options.log.warn('voter set is changed', { ...change })
+    this.#options.log.warn('changing the voter set', { ...change })
     service.changeVoters(change.remove, change.add)
   }
 
-  async #answerPeer (from: string, { requestId, ask }: Extract<BatchMessage, { kind: 'ask' }>): Promise<void> {
-    const answer = await this.#askLocal(ask)
-    this.#links.send(from, { kind: 'answer', requestId, answer })
+  async #handlePeerRequest (from: string, { requestId, ask: request }: Extract<BatchMessage, { kind: 'ask' }>): Promise<void> {
+    const response = await this.#handleLocally(request)
+    this.#links.send(from, { kind: 'answer', requestId, answer: response })
   }
 
-  async #askLocal (ask: Ask): Promise<AskAnswer> {
-    return await this.#service?.ask(ask) ?? { kind: 'not_leader', leaderNodeId: null }
+  async #handleLocally (request: LeaderRequest): Promise<LeaderResponse> {
+    return await this.#service?.handleRequest(request) ?? { kind: 'not_leader', leaderNodeId: null }
   }
 
-  /** The leader as far as it is known, then every other control node. */
-  #candidates (): string[] {
+  /** Connected nodes to ask for the leader: the presumed leader first, if any, then all others. */
+  #leaderCandidates (): string[] {
     const leader = this.#service?.leaderNodeId ?? this.#leaderHint
     const connected = this.#links.connectedNodeIds()
     const others = connected.filter(nodeId => nodeId !== leader)
--- a/packages/batch-node/src/batch-service.ts
+++ b/packages/batch-node/src/batch-service.ts
@@ -1,4 +1,4 @@
-/** Control role of a process: the replicated batch state, and the leader's work while this node leads. */
+/** Control service of a process: hosts a replica of the batch state and runs the batch leader while this node leads. */
 import { randomUUID } from 'node:crypto'
 import { Encoder } from 'cbor-x'
 import {
@@ -8,7 +8,7 @@
 import type { LogStorage, RecoveredLog, Replica, ReplicaSettings, VoterId } from '@comfreygrade/consensus'
 import { fail, type Clock, type EventLog, type Metrics, type Random } from '@comfreygrade/core'
 import { ReplicaHost, StateMachine } from '@comfreygrade/node/adapters'
-import type { Ask, AskAnswer, BatchMessage } from './messages.js'
+import type { LeaderRequest, LeaderResponse, BatchMessage } from './messages.js'
 import type { AdvicePort, VmPort } from './ports.js'
 
 /** Options of {@link BatchService}. */
@@ -19,9 +19,9 @@
   readonly settings: BatchSettings
   readonly replicaSettings: ReplicaSettings
   readonly snapshotAfterEntries: number
-  /** Steady clock, for times between heartbeats. */
+  /** Monotonic clock, for the time between heartbeats. */
   readonly clock: Clock
-  /** Clock for leases of this node, which goes on while the machine is suspended. */
+  /** Monotonic clock for the leases of this node, which keeps running while the machine is suspended. */
   readonly leaseClock: Clock
   readonly random: Random
   readonly metrics: Metrics
@@ -32,34 +32,34 @@
   readonly storageFailed: (error: unknown) => void
 }
 
-type Resolve = (answer: AskAnswer) => void
+type ResponseCallback = (response: LeaderResponse) => void
 
-/** Runs the replica, applies commits and drives the leader. */
+/** Runs the replica, applies committed commands and passes events to the leader. */
 export class BatchService extends StateMachine<BatchCommand> {
   readonly #options: BatchServiceOptions
-  readonly #host: ReplicaHost<BatchCommand>
+  readonly #replicaHost: ReplicaHost<BatchCommand>
   readonly #codec = new Encoder({ useRecords: false, mapsAsObjects: true })
-  readonly #pending = new Map<string, Resolve>()
+  readonly #pendingRequests = new Map<string, ResponseCallback>()
   #state: BatchState
   #leader: BatchLeader | undefined
-  #timer: NodeJS.Timeout | undefined
+  #tickTimer: NodeJS.Timeout | undefined
 
   constructor (options: BatchServiceOptions) {
     super()
     this.#options = options
     this.#state = new BatchState(options.settings)
-    this.#host = new ReplicaHost({
+    this.#replicaHost = new ReplicaHost({
       ...options,
       clock: options.leaseClock,
       machine: this,
       send: ({ to, message }) => { options.send(to.nodeId, { kind: 'raft', from: options.self, to, message }) }
     })
-    this.#host.run(options.recovered)
+    this.#replicaHost.run(options.recovered)
   }
 
-  /** The replica; it runs from the start. */
+  /** Never null after construction, since the constructor starts the replica. */
   get replica (): Replica<BatchCommand> | null {
-    return this.#host.replica
+    return this.#replicaHost.replica
   }
 
   get leaderNodeId (): string | null {
@@ -67,46 +67,46 @@
   }
 
   get isActiveLeader (): boolean {
-    return this.#host.isActiveLeader
+    return this.#replicaHost.isActiveLeader
   }
 
-  /** Takes a consensus message. */
-  receiveRaft ({ from, to, message }: Extract<BatchMessage, { kind: 'raft' }>): void {
-    // A message to the former disk of this node must not be taken as one to the new disk.
+  /** Passes a consensus message to the replica. */
+  receiveRaftMessage ({ from, to, message }: Extract<BatchMessage, { kind: 'raft' }>): void {
+    // A message addressed to a former disk of this node must not reach the replica on the new, empty one.
     if (to.diskId !== this.#options.self.diskId) return
-    this.#host.step({ kind: 'message', from, message })
+    this.#replicaHost.step({ kind: 'message', from, message })
   }
 
-  /** Answers if this node leads. */
-  async ask (ask: Ask): Promise<AskAnswer> {
-    if (!this.#host.isActiveLeader || this.#leader === undefined) {
+  /** Handles a request if this node is the active leader; answers `not_leader` otherwise. */
+  async handleRequest (request: LeaderRequest): Promise<LeaderResponse> {
+    if (!this.#replicaHost.isActiveLeader || this.#leader === undefined) {
       return { kind: 'not_leader', leaderNodeId: this.leaderNodeId }
     }
     const requestId = randomUUID()
-    return await new Promise<AskAnswer>(resolve => {
-      this.#pending.set(requestId, resolve)
-      this.#tell({ requestId, ...ask })
+    return await new Promise<LeaderResponse>(resolve => {
+      this.#pendingRequests.set(requestId, resolve)
+      this.#dispatch({ requestId, ...request })
     })
   }
 
-  /** Replaces or adds a voter. */
+  /** Proposes to replace a voter, or to add one if `remove` is null. */
   changeVoters (remove: VoterId | null, add: VoterId): void {
-    this.#host.step({ kind: 'replace_voter', proposalId: randomUUID(), remove, add })
+    this.#replicaHost.step({ kind: 'replace_voter', proposalId: randomUUID(), remove, add })
   }
 
-  /** Hands leadership over before a shutdown. */
+  /** Transfers leadership to another voter before a shutdown. */
   stepDown (): void {
-    this.#host.step({ kind: 'step_down' })
+    this.#replicaHost.step({ kind: 'step_down' })
   }
 
   async stop (): Promise<void> {
-    clearTimeout(this.#timer)
-    await this.#host.stop()
+    clearTimeout(this.#tickTimer)
+    await this.#replicaHost.stop()
   }
 
   override apply (command: BatchCommand, proposalId: string, _index: number, logTimeMs: number): void {
     const result = this.#state.apply(command, logTimeMs)
-    this.#tell({ kind: 'applied', proposalId, result })
+    this.#dispatch({ kind: 'applied', proposalId, result })
   }
 
   override encodeSnapshot (): Uint8Array {
@@ -118,49 +118,49 @@
   }
 
   override proposalRejected (proposalId: string, isCertain: boolean): void {
-    this.#tell({ kind: 'rejected', proposalId, isCertain })
+    this.#dispatch({ kind: 'rejected', proposalId, isCertain })
   }
 
   override leadershipStarted (term: number): void {
     const { settings, clock, metrics, log } = this.#options
     this.#leader = new BatchLeader({ term, state: this.#state, settings, clock, metrics, log })
-    this.#tell({ kind: 'tick' })
+    this.#dispatch({ kind: 'tick' })
   }
 
   override leadershipEnded (): void {
     this.#leader = undefined
-    clearTimeout(this.#timer)
-    const pending = [...this.#pending.values()]
-    this.#pending.clear()
-    // Proposals may still commit under the next leader, so nothing is said about them.
-    const result = fail('outcome_unknown', 'the control leader lost its role')
+    clearTimeout(this.#tickTimer)
+    const pending = [...this.#pendingRequests.values()]
+    this.#pendingRequests.clear()
+    // Open proposals may still commit under the next leader, so their outcome is unknown.
+    const result = fail('outcome_unknown', 'the control leader lost leadership')
     for (const resolve of pending) resolve({ kind: 'result', result })
   }
 
-  #tell (event: LeaderEvent): void {
+  #dispatch (event: LeaderEvent): void {
     const leader = this.#leader
     if (leader === undefined) return
     const effects = leader.handle(event)
-    for (const effect of effects) this.#carryOut(effect)
-    this.#schedule()
+    for (const effect of effects) this.#performEffect(effect)
+    this.#scheduleTick()
   }
 
-  #schedule (): void {
-    clearTimeout(this.#timer)
+  #scheduleTick (): void {
+    clearTimeout(this.#tickTimer)
     if (this.#leader === undefined) return
-    this.#timer = setTimeout(() => { this.#tell({ kind: 'tick' }) }, this.#leader.nextTickMs())
+    this.#tickTimer = setTimeout(() => { this.#dispatch({ kind: 'tick' }) }, this.#leader.nextTickMs())
   }
 
-  #carryOut (effect: LeaderEffect): void {
+  #performEffect (effect: LeaderEffect): void {
     switch (effect.kind) {
       case 'propose':
-        this.#host.step({ kind: 'propose', proposalId: effect.proposalId, command: effect.command })
+        this.#replicaHost.step({ kind: 'propose', proposalId: effect.proposalId, command: effect.command })
         break
       case 'reply':
-        this.#answer(effect.requestId, { kind: 'result', result: effect.result })
+        this.#respond(effect.requestId, { kind: 'result', result: effect.result })
         break
       case 'reply_worker':
-        this.#answer(effect.requestId, {
+        this.#respond(effect.requestId, {
           kind: 'orders', orders: effect.orders ?? null, leaderNodeId: this.#options.self.nodeId
         })
         break
@@ -168,29 +168,29 @@
         this.#beginMaintenance(effect)
         break
       case 'ask_advice':
-        this.#askAdvice(effect)
+        this.#requestTickets(effect)
         break
     }
   }
 
-  /** A leader that has lost its majority meanwhile gives no answer that a later leader could contradict. */
-  #answer (requestId: string, answer: AskAnswer): void {
-    const resolve = this.#pending.get(requestId)
-    this.#pending.delete(requestId)
+  /** A leader that has meanwhile lost its quorum returns no result, since a newer leader could contradict it. */
+  #respond (requestId: string, response: LeaderResponse): void {
+    const resolve = this.#pendingRequests.get(requestId)
+    this.#pendingRequests.delete(requestId)
     if (resolve === undefined) return
-    if (this.#host.isActiveLeader) return resolve(answer)
-    resolve({ kind: 'result', result: fail('outcome_unknown', 'the control leader lost its majority') })
+    if (this.#replicaHost.isActiveLeader) return resolve(response)
+    resolve({ kind: 'result', result: fail('outcome_unknown', 'the control leader lost its quorum') })
   }
 
   async #beginMaintenance ({ call, fencingToken }: Extract<LeaderEffect, { kind: 'begin_maintenance' }>): Promise<void> {
     const { vms, self } = this.#options
     const answer = await vms.beginMaintenance(call, { holder: self.nodeId, fencingToken })
-    this.#tell({ kind: 'maintenance_answered', call, answer })
+    this.#dispatch({ kind: 'maintenance_answered', call, answer })
   }
 
-  async #askAdvice ({ stepKey, workerIds }: Extract<LeaderEffect, { kind: 'ask_advice' }>): Promise<void> {
+  async #requestTickets ({ stepKey, workerIds }: Extract<LeaderEffect, { kind: 'ask_advice' }>): Promise<void> {
     const askedAtMs = this.#options.clock.monotonicMs()
-    const tickets = await this.#options.advice.ask(stepKey, workerIds)
-    this.#tell({ kind: 'advice', stepKey, tickets, askedAtMs })
+    const tickets = await this.#options.advice.requestTickets(stepKey, workerIds)
+    this.#dispatch({ kind: 'advice', stepKey, tickets, askedAtMs })
   }
 }
--- a/packages/batch-node/src/control-disk.ts
+++ b/packages/batch-node/src/control-disk.ts
@@ -1,12 +1,12 @@
-/** Disk of a control node: what it holds at start, and what the first start of the system writes. */
+/** Disk of a control node: recovers its log, or writes the initial log when the system is bootstrapped. */
 import type { BatchCommand } from '@comfreygrade/batch'
 import { Replica, type LogStorage, type RecoveredLog, type VoterId } from '@comfreygrade/consensus'
 import { FileLog, readOrCreateDiskId, type PeerAddress } from '@comfreygrade/node/adapters'
 
-/** Disk ID of the seeds' first start, which every process derives without a word between them. */
-const FIRST_DISK_ID = 'first'
+/** Disk ID of every seed at bootstrap; fixed, so that all seeds derive the same voter set without communication. */
+const INITIAL_DISK_ID = 'first'
 
-/** An open disk. */
+/** An open disk with the log that was recovered from it. */
 export interface ControlDisk {
   readonly diskId: string
   readonly storage: LogStorage<BatchCommand>
@@ -14,27 +14,27 @@
 }
 
 /**
- * Opens the log in a folder. At the first start of the system the seeds are the voters, and each writes the same first
- * log; any other node with an empty folder waits to be added.
+ * Opens the log in a folder. When the system is bootstrapped, the seeds are the initial voters and each writes the same
+ * initial log. Any other node with an empty folder starts with an empty log until a leader adds it as a voter.
  *
  * @example
- * const disk = await openControlDisk('/data/control/log', seeds, isFirstStart && isSeed)
+ * const disk = await openControlDisk('/data/control/log', seeds, isBootstrap && isSeed)
  */
 export async function openControlDisk (
-  folder: string, seeds: readonly PeerAddress[], isFirstVoter: boolean
+  folder: string, seeds: readonly PeerAddress[], isInitialVoter: boolean
 ): Promise<ControlDisk> {
-  const diskId = await readOrCreateDiskId(folder, undefined, isFirstVoter ? FIRST_DISK_ID : undefined)
+  const diskId = await readOrCreateDiskId(folder, undefined, isInitialVoter ? INITIAL_DISK_ID : undefined)
   const storage = new FileLog<BatchCommand>(folder)
-  const found = await storage.recover()
-  if (found.snapshot !== null || found.entries.length > 0) return { diskId, storage, recovered: found }
-  if (!isFirstVoter) return { diskId, storage, recovered: Replica.emptyLog() }
-  const first = Replica.initialLog<BatchCommand>(firstVoters(seeds))
-  await storage.persist({ kind: 'persist', persistId: 0, hardState: first.hardState, entries: first.entries })
-  return { diskId, storage, recovered: first }
+  const recovered = await storage.recover()
+  if (recovered.snapshot !== null || recovered.entries.length > 0) return { diskId, storage, recovered }
+  if (!isInitialVoter) return { diskId, storage, recovered: Replica.emptyLog() }
+  const initialLog = Replica.initialLog<BatchCommand>(initialVoters(seeds))
+  await storage.persist({ kind: 'persist', persistId: 0, hardState: initialLog.hardState, entries: initialLog.entries })
+  return { diskId, storage, recovered: initialLog }
 }
 
-/** Every process gets the same seeds at the first start, so each derives the same set. */
-function firstVoters (seeds: readonly PeerAddress[]): VoterId[] {
-  const voters = seeds.map(({ nodeId }) => ({ nodeId, diskId: FIRST_DISK_ID }))
+/** Every process is given the same seeds at bootstrap; sorting them makes the set the same on each. */
+function initialVoters (seeds: readonly PeerAddress[]): VoterId[] {
+  const voters = seeds.map(({ nodeId }) => ({ nodeId, diskId: INITIAL_DISK_ID }))
   return voters.sort((left, right) => left.nodeId < right.nodeId ? -1 : 1)
 }
--- a/packages/batch-node/src/disk-probe.ts
+++ b/packages/batch-node/src/disk-probe.ts
@@ -1,36 +1,35 @@
-/** Waits at the start for a disk that takes no bytes for the moment. */
+/** Waits at startup while the disk is full. */
 import { open, rm } from 'node:fs/promises'
 import { join } from 'node:path'
 import { setTimeout as pause } from 'node:timers/promises'
 import type { EventLog } from '@comfreygrade/core'
 
-/** More than the first writes of a control node. */
+/** Exceeds what a control node writes first. */
 const PROBE_BYTES = 65_536
-/** Interval between trials. */
-const RETRY_MS = 500
-const FULL_CODES: readonly unknown[] = ['ENOSPC', 'EDQUOT']
+const PROBE_INTERVAL_MS = 500
+const DISK_FULL_CODES: readonly unknown[] = ['ENOSPC', 'EDQUOT']
 
-/** Writes a little and removes it again. */
+/** Writes a temporary file to a folder; rejects with the error of the file system. */
 export type DiskProbe = (folder: string) => Promise<void>
 
 /**
- * Returns once the disk takes bytes. A process that ended instead would be started over and over while the disk is
- * full.
+ * Resolves once the disk has free space. A process that exited instead would be restarted repeatedly while the disk is
+ * full. Any other error of the probe is passed on.
  *
  * @example
- * await waitForDisk('/data/control/log', log)
+ * await waitForDiskSpace('/data/control/log', log)
  */
-export async function waitForDisk (
-  folder: string, log: EventLog, probe: DiskProbe = writeProbe, retryMs = RETRY_MS
+export async function waitForDiskSpace (
+  folder: string, log: EventLog, probe: DiskProbe = writeProbeFile, intervalMs = PROBE_INTERVAL_MS
 ): Promise<void> {
   let isFull = await isDiskFull(folder, probe)
   if (!isFull) return
-  log.warn('disk is full', { folder })
+  log.warn('disk is full; waiting for free space', { folder })
   while (isFull) {
-    await pause(retryMs)
+    await pause(intervalMs)
     isFull = await isDiskFull(folder, probe)
   }
-  log.info('disk takes bytes again', { folder })
+  log.info('disk has free space again', { folder })
 }
 
 async function isDiskFull (folder: string, probe: DiskProbe): Promise<boolean> {
@@ -38,12 +37,12 @@
     await probe(folder)
     return false
   } catch (error) {
-    if (FULL_CODES.includes((error as NodeJS.ErrnoException).code)) return true
+    if (DISK_FULL_CODES.includes((error as NodeJS.ErrnoException).code)) return true
     throw error
   }
 }
 
-async function writeProbe (folder: string): Promise<void> {
+async function writeProbeFile (folder: string): Promise<void> {
   const path = join(folder, 'probe')
   const file = await open(path, 'w')
   try {
--- a/packages/batch-node/src/leader-client.ts
+++ b/packages/batch-node/src/leader-client.ts
@@ -1,117 +1,123 @@
-/** Asks the control leader on behalf of callers, workers and operators. */
+/** Sends requests of clients, workers and operators to the control leader. */
 import { randomUUID } from 'node:crypto'
 import { fail, type Clock, type Metrics } from '@comfreygrade/core'
 import type { BatchOperation, BatchResult } from '@comfreygrade/batch'
-import type { Ask, AskAnswer, BatchMessage } from './messages.js'
+import type { LeaderRequest, LeaderResponse, BatchMessage } from './messages.js'
 
 /** Options of {@link LeaderClient}. */
 export interface LeaderClientOptions {
   readonly nodeId: string
   readonly clock: Clock
   readonly metrics: Metrics
-  /** Control nodes to try, the best first. */
+  /** Nodes to try, the presumed leader first. */
   readonly candidates: () => readonly string[]
+  /** Returns false if the message was not sent. */
   readonly send: (nodeId: string, message: BatchMessage) => boolean
-  readonly askLocal: (ask: Ask) => Promise<AskAnswer>
-  readonly leaderHinted: (nodeId: string) => void
+  /** Passes a request to the control service of this process. */
+  readonly handleLocally: (request: LeaderRequest) => Promise<LeaderResponse>
+  /** Called with the leader that a node names when it does not lead itself. */
+  readonly onLeaderHint: (nodeId: string) => void
 }
 
-/** Pause between two rounds over the control nodes while none leads. */
-const RETRY_PAUSE_MS = 60
-/** An attempt is given up after this time: the longest commit beside a slow disk. */
+/** Pause between two rounds over all candidates while none of them leads. */
+const ROUND_INTERVAL_MS = 60
+/** Time limit of one attempt; covers the longest commit on a slow disk. */
 const ATTEMPT_TIMEOUT_MS = 1_000
 
-type Reply =
-  | { readonly kind: 'answered', readonly answer: AskAnswer }
-  /** It was certainly not taken. */
-  | { readonly kind: 'not_taken' }
+type AttemptOutcome =
+  | { readonly kind: 'answered', readonly response: LeaderResponse }
+  /** The request has certainly had no effect. */
+  | { readonly kind: 'not_executed' }
   | { readonly kind: 'unknown' }
 
-interface PendingAsk {
+interface PendingRequest {
   readonly nodeId: string
-  readonly finish: (reply: Reply) => void
+  readonly settle: (outcome: AttemptOutcome) => void
 }
 
-/** Sends asks over the links and repeats them where they are idempotent. */
+/** Sends requests over the peer links, and retries operations until a leader answers. */
 export class LeaderClient {
   readonly #options: LeaderClientOptions
-  readonly #pending = new Map<string, PendingAsk>()
+  readonly #pendingRequests = new Map<string, PendingRequest>()
 
   constructor (options: LeaderClientOptions) {
     this.#options = options
   }
 
-  /** Takes an answer from a link. */
-  receive ({ requestId, answer }: Extract<BatchMessage, { kind: 'answer' }>): void {
-    this.#pending.get(requestId)?.finish({ kind: 'answered', answer })
+  /** Completes the pending request that a response from a link belongs to. */
+  receiveResponse ({ requestId, answer: response }: Extract<BatchMessage, { kind: 'answer' }>): void {
+    this.#pendingRequests.get(requestId)?.settle({ kind: 'answered', response })
   }
 
-  /** Ends what waits on a link that is gone. */
-  disconnected (nodeId: string): void {
-    for (const pending of [...this.#pending.values()]) {
-      if (pending.nodeId === nodeId) pending.finish({ kind: 'unknown' })
+  /** Ends the requests to a node whose link was closed; their outcome is unknown. */
+  handleDisconnect (nodeId: string): void {
+    for (const pending of [...this.#pendingRequests.values()]) {
+      if (pending.nodeId === nodeId) pending.settle({ kind: 'unknown' })
     }
   }
 
   /**
-   * Asks until there is an answer or the time is over. All operations are idempotent, so an attempt whose outcome is
-   * not known is repeated; it makes the outcome unknown only where no later attempt is answered.
+   * Retries until a leader answers or the time limit is reached. All operations are idempotent, so an attempt with an
+   * unknown outcome is retried too; the outcome of the operation is unknown only if no later attempt is answered.
    */
-  async operate (operation: BatchOperation, timeoutMs: number): Promise<BatchResult> {
+  async execute (operation: BatchOperation, timeoutMs: number): Promise<BatchResult> {
     const deadlineMs = this.#nowMs + timeoutMs
-    let mayHaveCounted = false
+    let mayHaveTakenEffect = false
     while (this.#nowMs < deadlineMs) {
       for (const nodeId of this.#options.candidates()) {
-        const reply = await this.#attempt(nodeId, { kind: 'operation', operation }, deadlineMs - this.#nowMs)
-        const result = this.#resultOf(reply)
+        const outcome = await this.#attempt(nodeId, { kind: 'operation', operation }, deadlineMs - this.#nowMs)
+        const result = this.#resultOf(outcome)
         if (result !== undefined && (result.ok || result.failure.kind !== 'outcome_unknown')) return result
-        if (reply.kind === 'unknown' || result !== undefined) mayHaveCounted = true
+        if (outcome.kind === 'unknown' || result !== undefined) mayHaveTakenEffect = true
         if (this.#nowMs >= deadlineMs) break
       }
-      await this.#pause(Math.min(RETRY_PAUSE_MS, deadlineMs - this.#nowMs))
+      await this.#pause(Math.min(ROUND_INTERVAL_MS, deadlineMs - this.#nowMs))
     }
-    return mayHaveCounted
-      ? fail('outcome_unknown', 'no control leader answered in time; an attempt may have been taken')
+    return mayHaveTakenEffect
+      ? fail('outcome_unknown', 'no control leader answered in time; an attempt may have taken effect')
       : fail('control_unavailable', 'no control leader could be reached')
   }
 
-  /** Asks once at each candidate until one that leads answers. */
-  async askOnce (ask: Ask, timeoutMs: number): Promise<AskAnswer | undefined> {
+  /**
+   * Tries each candidate once until the leader answers. Stops at the first unknown outcome, so that no two nodes handle
+   * the request.
+   */
+  async requestOnce (request: LeaderRequest, timeoutMs: number): Promise<LeaderResponse | undefined> {
     const deadlineMs = this.#nowMs + timeoutMs
     for (const nodeId of this.#options.candidates()) {
-      const reply = await this.#attempt(nodeId, ask, deadlineMs - this.#nowMs)
-      if (reply.kind === 'answered' && reply.answer.kind !== 'not_leader') return reply.answer
-      if (reply.kind === 'unknown' || this.#nowMs >= deadlineMs) return undefined
+      const outcome = await this.#attempt(nodeId, request, deadlineMs - this.#nowMs)
+      if (outcome.kind === 'answered' && outcome.response.kind !== 'not_leader') return outcome.response
+      if (outcome.kind === 'unknown' || this.#nowMs >= deadlineMs) return undefined
     }
     return undefined
   }
 
-  #resultOf (reply: Reply): BatchResult | undefined {
-    return reply.kind === 'answered' && reply.answer.kind === 'result' ? reply.answer.result : undefined
+  #resultOf (outcome: AttemptOutcome): BatchResult | undefined {
+    return outcome.kind === 'answered' && outcome.response.kind === 'result' ? outcome.response.result : undefined
   }
 
-  async #attempt (nodeId: string, ask: Ask, remainingMs: number): Promise<Reply> {
+  async #attempt (nodeId: string, request: LeaderRequest, remainingMs: number): Promise<AttemptOutcome> {
     const timeoutMs = Math.max(1, Math.min(remainingMs, ATTEMPT_TIMEOUT_MS))
-    const reply = nodeId === this.#options.nodeId
-      ? await withTimeout(this.#options.askLocal(ask), timeoutMs)
-      : await this.#askPeer(nodeId, ask, timeoutMs)
-    if (reply.kind !== 'answered' || reply.answer.kind !== 'not_leader') return reply
-    if (reply.answer.leaderNodeId !== null) this.#options.leaderHinted(reply.answer.leaderNodeId)
-    return { kind: 'not_taken' }
+    const outcome = nodeId === this.#options.nodeId
+      ? await withTimeout(this.#options.handleLocally(request), timeoutMs)
+      : await this.#requestFromPeer(nodeId, request, timeoutMs)
+    if (outcome.kind !== 'answered' || outcome.response.kind !== 'not_leader') return outcome
+    if (outcome.response.leaderNodeId !== null) this.#options.onLeaderHint(outcome.response.leaderNodeId)
+    return { kind: 'not_executed' }
   }
 
-  async #askPeer (nodeId: string, ask: Ask, timeoutMs: number): Promise<Reply> {
+  async #requestFromPeer (nodeId: string, request: LeaderRequest, timeoutMs: number): Promise<AttemptOutcome> {
     const requestId = randomUUID()
-    return await new Promise<Reply>(resolve => {
-      const timer = setTimeout(() => { finish({ kind: 'unknown' }) }, timeoutMs)
-      const finish = (reply: Reply): void => {
+    return await new Promise<AttemptOutcome>(resolve => {
+      const timer = setTimeout(() => { settle({ kind: 'unknown' }) }, timeoutMs)
+      const settle = (outcome: AttemptOutcome): void => {
         clearTimeout(timer)
-        this.#pending.delete(requestId)
-        if (reply.kind === 'unknown') this.#options.metrics.increment('retry', { reason: 'leader_silent' })
-        resolve(reply)
+        this.#pendingRequests.delete(requestId)
+        if (outcome.kind === 'unknown') this.#options.metrics.increment('retry', { reason: 'leader_silent' })
+        resolve(outcome)
       }
-      this.#pending.set(requestId, { nodeId, finish })
-      if (!this.#options.send(nodeId, { kind: 'ask', requestId, ask })) finish({ kind: 'not_taken' })
+      this.#pendingRequests.set(requestId, { nodeId, settle })
+      if (!this.#options.send(nodeId, { kind: 'ask', requestId, ask: request })) settle({ kind: 'not_executed' })
     })
   }
 
@@ -124,12 +130,12 @@
   }
 }
 
-async function withTimeout (answer: Promise<AskAnswer>, timeoutMs: number): Promise<Reply> {
-  return await new Promise<Reply>(resolve => {
+async function withTimeout (response: Promise<LeaderResponse>, timeoutMs: number): Promise<AttemptOutcome> {
+  return await new Promise<AttemptOutcome>(resolve => {
     const timer = setTimeout(() => { resolve({ kind: 'unknown' }) }, timeoutMs)
-    answer.then(value => {
+    response.then(value => {
       clearTimeout(timer)
-      resolve({ kind: 'answered', answer: value })
+      resolve({ kind: 'answered', response: value })
     })
   })
 }
--- a/packages/batch-node/src/messages.ts
+++ b/packages/batch-node/src/messages.ts
@@ -1,34 +1,34 @@
-/** Messages between the processes of the batch scheduler. */
+/** Messages between the processes of the batch scheduler. Names of fields and kinds are part of the wire format. */
 import type { BatchCommand, BatchOperation, BatchResult, WorkerOrders, WorkerReport } from '@comfreygrade/batch'
 import type { ConsensusMessage, VoterId } from '@comfreygrade/consensus'
 import type { PeerAddress } from '@comfreygrade/node/adapters'
 
-/** A control node as others know it. */
+/** A control node as it is announced to other processes. */
 export interface ControlNodeInfo extends PeerAddress {
   readonly voter: VoterId
-  /** Unix time of the start of this process, which tells a restart from a node that is still leaving. */
+  /** Unix time of the start of the process; distinguishes a restarted node from one that is still leaving. */
   readonly startedWallMs: number
 }
 
-/** What a process asks of the leader. */
-export type Ask =
+/** A request to the leader. */
+export type LeaderRequest =
   | { readonly kind: 'operation', readonly operation: BatchOperation }
   | { readonly kind: 'report', readonly report: WorkerReport }
   | { readonly kind: 'worker_left', readonly workerId: string }
 
-/** What the leader answers. */
-export type AskAnswer =
+/** The response to a {@link LeaderRequest}. */
+export type LeaderResponse =
   | { readonly kind: 'result', readonly result: BatchResult }
-  /** Null for a heartbeat that was ignored. */
+  /** `orders` is null if the heartbeat was ignored. */
   | { readonly kind: 'orders', readonly orders: WorkerOrders | null, readonly leaderNodeId: string }
   | { readonly kind: 'not_leader', readonly leaderNodeId: string | null }
 
-/** Every message between the processes. */
+/** Union of all messages. */
 export type BatchMessage =
   | {
     readonly kind: 'hello'
     readonly nodeId: string
-    /** Null on a process without a disk. */
+    /** Null for a process without a disk. */
     readonly control: ControlNodeInfo | null
     readonly readsNumberedFields?: boolean
   }
@@ -41,7 +41,7 @@
     readonly to: VoterId
     readonly message: ConsensusMessage<BatchCommand>
   }
-  | { readonly kind: 'ask', readonly requestId: string, readonly ask: Ask }
-  | { readonly kind: 'answer', readonly requestId: string, readonly answer: AskAnswer }
-  /** The sender is about to stop, and a standby may take its place. */
+  | { readonly kind: 'ask', readonly requestId: string, readonly ask: LeaderRequest }
+  | { readonly kind: 'answer', readonly requestId: string, readonly answer: LeaderResponse }
+  /** The sender is shutting down, so a standby may replace it as a voter. */
   | { readonly kind: 'leaving', readonly voter: VoterId }
--- a/packages/batch-node/src/metrics.ts
+++ b/packages/batch-node/src/metrics.ts
@@ -1,17 +1,17 @@
-/** Counters, gauges and latency histograms, served as text. */
+/** Counters, gauges and duration histograms, rendered as text. */
 import { build, type Histogram } from 'hdr-histogram-js'
 import { Metrics, type MetricTags } from '@comfreygrade/core'
 
-/** Longest duration that a histogram tells apart. */
-const HIGHEST_DURATION_MS = 60_000
-const HISTOGRAM = {
-  highestTrackableValue: HIGHEST_DURATION_MS,
+/** Longest duration that a histogram records; longer ones count as this one. */
+const MAX_DURATION_MS = 60_000
+const HISTOGRAM_OPTIONS = {
+  highestTrackableValue: MAX_DURATION_MS,
   numberOfSignificantValueDigits: 2,
   useWebAssembly: false
 } as const
 const PERCENTILES = [50, 90, 99, 99.9]
 
-/** Keeps metrics in memory and renders them in the text format that metric collectors read. */
+/** Keeps metrics in memory and renders them in the Prometheus text format. */
 export class TextMetrics extends Metrics {
   readonly #values = new Map<string, number>()
   readonly #histograms = new Map<string, Histogram>()
@@ -27,13 +27,13 @@
 
   override timing (name: string, durationMs: number, tags: MetricTags = {}): void {
     const key = metricKey(name, tags)
-    const known = this.#histograms.get(key)
-    const histogram = known ?? build(HISTOGRAM)
-    if (known === undefined) this.#histograms.set(key, histogram)
-    histogram.recordValue(Math.min(HIGHEST_DURATION_MS, Math.max(0, Math.round(durationMs))))
+    const existing = this.#histograms.get(key)
+    const histogram = existing ?? build(HISTOGRAM_OPTIONS)
+    if (existing === undefined) this.#histograms.set(key, histogram)
+    histogram.recordValue(Math.min(MAX_DURATION_MS, Math.max(0, Math.round(durationMs))))
   }
 
-  /** All metrics, one a line. */
+  /** Renders all metrics, one sample per line. */
   render (): string {
     const lines = [...this.#values].map(([key, value]) => `${key} ${value}`)
     for (const [key, histogram] of this.#histograms) lines.push(...renderHistogram(key, histogram))
@@ -44,8 +44,8 @@
 function renderHistogram (key: string, histogram: Histogram): string[] {
   const quantiles = PERCENTILES.map(percentile => {
     const label = `quantile="${percentile / 100}"`
-    const labelled = key.endsWith('}') ? `${key.slice(0, -1)},${label}}` : `${key}{${label}}`
-    return `${labelled} ${histogram.getValueAtPercentile(percentile)}`
+    const labelledKey = key.endsWith('}') ? `${key.slice(0, -1)},${label}}` : `${key}{${label}}`
+    return `${labelledKey} ${histogram.getValueAtPercentile(percentile)}`
   })
   return [...quantiles, `${withSuffix(key, '_count')} ${histogram.totalCount}`]
 }
--- a/packages/batch-node/src/ports.ts
+++ b/packages/batch-node/src/ports.ts
@@ -1,32 +1,32 @@
-/** What the batch leader needs from outside. */
+/** Ports to the services that the batch leader calls. */
 import type { MaintenanceAnswer, MaintenanceCall, Ticket } from '@comfreygrade/batch'
 
-/** Service that knows which workers may run a step. */
+/** Port to the advice service, which decides which workers may run a step. */
 export abstract class AdvicePort {
-  /** Tickets of the workers that may run the step; undefined where the call failed. */
-  abstract ask (stepKey: string, workerIds: readonly string[]): Promise<readonly Ticket[] | undefined>
+  /** Requests tickets for the workers that may run the step; resolves to undefined if the call failed. */
+  abstract requestTickets (stepKey: string, workerIds: readonly string[]): Promise<readonly Ticket[] | undefined>
 }
 
-/** Advice where the deployment has no such service. */
-export class NoAdvice extends AdvicePort {
-  override async ask (): Promise<undefined> {
+/** Used in deployments without an advice service: every call fails. */
+export class NullAdvicePort extends AdvicePort {
+  override async requestTickets (): Promise<undefined> {
     return undefined
   }
 }
 
-/** Who calls about a VM: of two callers the one with the higher token goes first. */
+/** Identity of a caller of the VM interface. Of two callers, the one with the higher fencing token takes precedence. */
 export interface CallerIdentity {
   readonly holder: string
   readonly fencingToken: number
 }
 
-/** Interface to the VMs on which workers run. */
+/** Port to the interface that manages the VMs on which workers run. */
 export abstract class VmPort {
   abstract beginMaintenance (call: MaintenanceCall, caller: CallerIdentity): Promise<MaintenanceAnswer>
 }
 
-/** VMs where the deployment has no such interface. */
-export class NoVms extends VmPort {
+/** Used in deployments without a VM interface: every call fails. */
+export class NullVmPort extends VmPort {
   override async beginMaintenance (): Promise<'failed'> {
     return 'failed'
   }
--- a/packages/batch-node/src/stdout-log.ts
+++ b/packages/batch-node/src/stdout-log.ts
@@ -1,25 +1,25 @@
-/** Structured logs on standard output. */
+/** Structured log on standard output. */
 import { EventLog } from '@comfreygrade/core'
 
 type LogFields = Readonly<Record<string, unknown>>
 
-/** Lines of one message that are written in one second at most; the rest are counted. */
+/** Limit for lines with the same message; further ones are dropped and counted. */
 const MAX_LINES_PER_SECOND = 200
-/** Bytes that may wait for the reader of standard output; more are dropped, so that logging never blocks or grows. */
+/** Limit for buffered output. Lines beyond it are dropped, so that logging neither blocks nor uses unlimited memory. */
 const MAX_BACKLOG_BYTES = 1_048_576
 
-interface LineCount {
-  secondStartedMs: number
+interface RateWindow {
+  startMs: number
   written: number
   dropped: number
 }
 
-/** Writes one JSON object a line, bounded by message and by the backlog of the stream. */
+/** Writes one JSON object per line. Limits the rate of each message and the backlog of the stream. */
 export class StdoutLog extends EventLog {
   readonly #nodeId: string
   readonly #nowMs: () => number
   readonly #stream: NodeJS.WriteStream
-  readonly #counts = new Map<string, LineCount>()
+  readonly #windows = new Map<string, RateWindow>()
 
   constructor (nodeId: string, nowMs: () => number, stream: NodeJS.WriteStream = process.stdout) {
     super()
@@ -40,23 +40,26 @@
     const nowMs = this.#nowMs()
     const dropped = this.#admit(message, nowMs)
     if (dropped === undefined) return
-    const counted = dropped === 0 ? {} : { droppedLines: dropped }
-    const line = { timeMs: Math.round(nowMs), level, nodeId: this.#nodeId, message, ...fields, ...counted }
+    const droppedField = dropped === 0 ? {} : { droppedLines: dropped }
+    const line = { timeMs: Math.round(nowMs), level, nodeId: this.#nodeId, message, ...fields, ...droppedField }
     this.#stream.write(`${JSON.stringify(line)}\n`)
   }
 
-  /** Lines of this message that were dropped before, or undefined where this one is dropped too. */
+  /**
+   * Applies the limits to a line. Returns the number of lines with this message that were dropped since the last one
+   * written, or undefined if this line is dropped too.
+   */
   #admit (message: string, nowMs: number): number | undefined {
-    const count = this.#counts.get(message) ?? { secondStartedMs: nowMs, written: 0, dropped: 0 }
-    this.#counts.set(message, count)
-    if (nowMs - count.secondStartedMs >= 1_000) Object.assign(count, { secondStartedMs: nowMs, written: 0 })
-    if (count.written >= MAX_LINES_PER_SECOND || this.#stream.writableLength > MAX_BACKLOG_BYTES) {
-      count.dropped++
+    const window = this.#windows.get(message) ?? { startMs: nowMs, written: 0, dropped: 0 }
+    this.#windows.set(message, window)
+    if (nowMs - window.startMs >= 1_000) Object.assign(window, { startMs: nowMs, written: 0 })
+    if (window.written >= MAX_LINES_PER_SECOND || this.#stream.writableLength > MAX_BACKLOG_BYTES) {
+      window.dropped++
       return undefined
     }
-    count.written++
-    const { dropped } = count
-    count.dropped = 0
+    window.written++
+    const { dropped } = window
+    window.dropped = 0
     return dropped
   }
 }
--- a/packages/batch-node/test/cluster.ts
+++ b/packages/batch-node/test/cluster.ts
@@ -1,4 +1,4 @@
-/** Control nodes and entries of one process, on loopback ports and folders of their own. */
+/** Control nodes and frontends in one process, each with its own loopback port and folder. */
 import { mkdtemp, rm } from 'node:fs/promises'
 import { tmpdir } from 'node:os'
 import { join } from 'node:path'
@@ -8,11 +8,11 @@
 import { NullEventLog, NullMetrics, Random } from '@comfreygrade/core'
 import { SystemClock, type PeerAddress } from '@comfreygrade/node/adapters'
 import { findFreePorts } from '@comfreygrade/standins'
-import { BatchNode, NoAdvice, NoVms, openControlDisk, type ControlDisk } from '../src/index.js'
+import { BatchNode, NullAdvicePort, NullVmPort, openControlDisk, type ControlDisk } from '../src/index.js'
 
 const HOST = '127.0.0.1'
 
-/** A cluster whose nodes can be stopped, started and robbed of their disks. */
+/** A cluster whose nodes can be started and stopped and whose disks can be erased. */
 export class Cluster {
   readonly #folder: string
   readonly #seeds: readonly PeerAddress[]
@@ -31,14 +31,15 @@
     return new Cluster(folder, seeds)
   }
 
-  /** Starts a control node; only at the first start of the system may it write the first log. */
-  async startControl (nodeId: string, isFirstStart = false): Promise<BatchNode> {
+  /** Starts a control node. Seeds write the initial log only if `isBootstrap` is true. */
+  async startControl (nodeId: string, isBootstrap = false): Promise<BatchNode> {
     const seed = this.#seeds.find(candidate => candidate.nodeId === nodeId)
     const address = seed ?? { nodeId, host: HOST, port: await freePort() }
-    return await this.#start(address, await openControlDisk(join(this.#folder, nodeId), this.#seeds, isFirstStart))
+    return await this.#start(address, await openControlDisk(join(this.#folder, nodeId), this.#seeds, isBootstrap))
   }
 
-  async startEntry (nodeId: string): Promise<BatchNode> {
+  /** Starts a node without a disk. */
+  async startFrontend (nodeId: string): Promise<BatchNode> {
     return await this.#start({ nodeId, host: HOST, port: await freePort() }, undefined)
   }
 
@@ -47,37 +48,36 @@
     this.#nodes.delete(nodeId)
   }
 
-  async loseDisk (nodeId: string): Promise<void> {
+  async eraseDisk (nodeId: string): Promise<void> {
     await rm(join(this.#folder, nodeId), { recursive: true })
   }
 
-  /** Repeats an operation until it succeeds. */
-  async until (
-    node: BatchNode, operation: BatchOperation, accept: (result: BatchResult) => boolean = result => result.ok
+  /** Repeats an operation until its result is as expected, by default until it succeeds. */
+  async executeUntil (
+    node: BatchNode, operation: BatchOperation, isExpected: (result: BatchResult) => boolean = result => result.ok
   ): Promise<BatchResult> {
     const deadlineMs = performance.now() + 15_000
     for (;;) {
-      const result = await node.operate(operation, 1_000)
-      if (accept(result)) return result
-      if (performance.now() > deadlineMs) throw new Error(`no success in 15 s, last: ${JSON.stringify(result)}`)
+      const result = await node.execute(operation, 1_000)
+      if (isExpected(result)) return result
+      if (performance.now() > deadlineMs) throw new Error(`no expected result within 15 s; last result: ${JSON.stringify(result)}`)
       await pause(50)
     }
   }
 
   /**
-   * Waits until a new voter is in and one more control node may be lost; only nodes that run are asked. The voter is
-   * asked for as well, since a node that was just stopped counts as intact until its silence is noticed.
+   * Waits until a running node reports the new voter and tolerates the loss of one more control node. The second
+   * condition alone is not enough, since a node that was just stopped counts as available until its silence is noticed.
    */
-  async untilRepaired (isNewVoter: (voter: VoterId) => boolean): Promise<void> {
+  async waitForRepair (isNewVoter: (voter: VoterId) => boolean): Promise<void> {
     await this.#waitFor(() => [...this.#nodes.values()].some(node =>
       node.survivableLosses === 1 && node.voters.some(isNewVoter)))
   }
 
-  /** Waits until a condition holds. */
   async #waitFor (condition: () => boolean): Promise<void> {
     const deadlineMs = performance.now() + 15_000
     while (!condition()) {
-      if (performance.now() > deadlineMs) throw new Error('the condition did not hold within 15 s')
+      if (performance.now() > deadlineMs) throw new Error('the voter set was not repaired within 15 s')
       await pause(20)
     }
   }
@@ -95,15 +95,15 @@
       disk,
       settings: defaultBatchSettings,
       replicaSettings: defaultReplicaSettings,
-      wantedVoters: 3,
+      targetVoterCount: 3,
       snapshotAfterEntries: 50,
       clock,
       leaseClock: clock,
       random: new Random(address.port),
       metrics: new NullMetrics(),
       log: new NullEventLog(),
-      advice: new NoAdvice(),
-      vms: new NoVms(),
+      advice: new NullAdvicePort(),
+      vms: new NullVmPort(),
       storageFailed: error => { throw error }
     })
     await node.start()
--- a/packages/batch-node/test/disk-probe.test.ts
+++ b/packages/batch-node/test/disk-probe.test.ts
@@ -1,23 +1,23 @@
 import test from 'ava'
 import { NullEventLog } from '@comfreygrade/core'
-import { waitForDisk } from '../src/index.js'
+import { waitForDiskSpace } from '../src/index.js'
 
-function failingProbe (code: string, failures: number): { probe: () => Promise<void>, trials: () => number } {
-  let trials = 0
+function failingProbe (code: string, failureCount: number): { probe: () => Promise<void>, attempts: () => number } {
+  let attempts = 0
   const probe = async (): Promise<void> => {
-    trials++
-    if (trials <= failures) throw Object.assign(new Error(code), { code })
+    attempts++
+    if (attempts <= failureCount) throw Object.assign(new Error(code), { code })
   }
-  return { probe, trials: () => trials }
+  return { probe, attempts: () => attempts }
 }
 
-test('a process waits for a full disk and does not end over and over (own day disks)', async t => {
-  const { probe, trials } = failingProbe('ENOSPC', 3)
-  await waitForDisk('/unused', new NullEventLog(), probe, 1)
-  t.is(trials(), 4)
+test('a process waits while its disk is full instead of exiting, so that it is not restarted repeatedly', async t => {
+  const { probe, attempts } = failingProbe('ENOSPC', 3)
+  await waitForDiskSpace('/unused', new NullEventLog(), probe, 1)
+  t.is(attempts(), 4)
 })
 
-test('a disk that fails in another way ends the start, since waiting does not help', async t => {
+test('any other disk error aborts the start, since waiting would not resolve it', async t => {
   const { probe } = failingProbe('EIO', 1)
-  await t.throwsAsync(waitForDisk('/unused', new NullEventLog(), probe, 1), { message: 'EIO' })
+  await t.throwsAsync(waitForDiskSpace('/unused', new NullEventLog(), probe, 1), { message: 'EIO' })
 })
