--- a/packages/standins/src/local.ts
+++ b/packages/standins/src/local.ts
@@ -4,7 +4,7 @@
 import { applyDocument, readConfigurationFile } from '@comfreygrade/cli'
 import meow from 'meow'
 import { StandInBackendServer } from './backend-server.js'
-import { LocalSystem } from './local-system.js'
+import { LocalSystem } from './local-cluster.js'
 import { waitFor } from './waiting.js'
 
 const INVENTORY = join(import.meta.dirname, '../../../examples/inventory.yaml')
--- a/packages/standins/test/node-process.test.ts
+++ b/packages/standins/test/node-process.test.ts
@@ -4,7 +4,7 @@
 import test, { type ExecutionContext } from 'ava'
 import { parse } from 'yaml'
 import { NodeProcess } from '../src/index.js'
-import { writeDemoSettings } from '../src/demo-settings.js'
+import { writeDemoSettings } from '../src/node-settings.js'
 
 const NODE_SCRIPT = join(import.meta.dirname, '../../node/dist/main.js')
 
