--- a/packages/standins/src/backend-behaviour.ts
+++ b/packages/standins/src/backend-behaviour.ts
@@ -1,104 +1,103 @@
-/** How a stand-in backend server treats a request: served well, or one of the faults that tests need. */
+/** Behaviours of a stand-in backend server: normal service, or one of the faults that tests inject. */
 import { setTimeout as delay } from 'node:timers/promises'
 
-/** What a behaviour may do with one request. */
+/** Actions that a behaviour can take on one request. */
 export interface BackendExchange {
-  /** Takes a slot, works for the service time and records the execution. */
+  /** Acquires a slot, waits for the service time and records the execution. */
   execute (): Promise<void>
-  /** Sends the normal answer: status 200 with the request's body. */
-  answer (): void
-  /** Answers with a status; `isNotRun` adds `comfreygrade-not-run: true`. */
-  refuse (status: number, isNotRun: boolean): void
-  /** Closes the connection without an answer. */
-  cut (): void
+  /** Sends the normal response: status 200 with the request's body. */
+  respond (): void
+  /** Responds with an error status; `isNotRun` adds the header `comfreygrade-not-run: true`. */
+  respondWithError (status: number, isNotRun: boolean): void
+  /** Closes the connection without a response. */
+  closeConnection (): void
 }
 
-/** Names of the behaviours, for settings. */
+/** Behaviour names, as the command line takes them. */
 export const backendBehaviourNames =
   ['serve', 'reject', 'fail_fast', 'freeze', 'answer_late', 'cut_after_executing'] as const
 
-/** Name of a behaviour. */
 export type BackendBehaviourName = typeof backendBehaviourNames[number]
 
-/** Decides what happens with each request. */
+/** Decides how each request is handled. */
 export abstract class BackendBehaviour {
-  /** Whether the server still announces itself. */
-  get isAnnounced (): boolean {
+  /** Whether the server sends heartbeats. */
+  get sendsHeartbeats (): boolean {
     return true
   }
 
-  /** Handles one request that was read completely. */
+  /** Handles one request whose body was read completely. */
   abstract handle (exchange: BackendExchange): Promise<void>
 }
 
-/** Executes and answers. */
+/** Executes and responds. */
 export class ServeBehaviour extends BackendBehaviour {
   override async handle (exchange: BackendExchange): Promise<void> {
     await exchange.execute()
-    exchange.answer()
+    exchange.respond()
   }
 }
 
-/** Refuses everything with 503 and the promise that the work did not run. */
+/** Rejects every request with 503 and the guarantee that it was not executed. */
 export class RejectBehaviour extends BackendBehaviour {
   override async handle (exchange: BackendExchange): Promise<void> {
-    exchange.refuse(503, true)
+    exchange.respondWithError(503, true)
   }
 }
 
-/** Answers 500 at once; nothing is executed, but the caller cannot know it. */
+/** Responds with 500 at once; nothing is executed, but the caller cannot tell. */
 export class FailFastBehaviour extends BackendBehaviour {
   override async handle (exchange: BackendExchange): Promise<void> {
-    exchange.refuse(500, false)
+    exchange.respondWithError(500, false)
   }
 }
 
-/** Accepts connections and requests and never answers, as a frozen VM does. */
+/** Accepts connections and requests but never responds, like a frozen VM. */
 export class FreezeBehaviour extends BackendBehaviour {
-  override get isAnnounced (): boolean {
+  override get sendsHeartbeats (): boolean {
     return false
   }
 
   override async handle (): Promise<void> {}
 }
 
-/** Executes, then answers `lateMs` later than it could. */
+/** Executes, then delays the response by `delayMs`. */
 export class AnswerLateBehaviour extends BackendBehaviour {
-  readonly #lateMs: number
+  readonly #delayMs: number
 
-  constructor (lateMs: number) {
+  constructor (delayMs: number) {
     super()
-    this.#lateMs = lateMs
+    this.#delayMs = delayMs
   }
 
   override async handle (exchange: BackendExchange): Promise<void> {
     await exchange.execute()
-    await delay(this.#lateMs)
-    exchange.answer()
+    await delay(this.#delayMs)
+    exchange.respond()
   }
 }
 
-/** Executes, then closes the connection: the work ran and the caller cannot know it. */
+/** Executes, then closes the connection: the request was executed, but the caller cannot tell. */
 export class CutAfterExecutingBehaviour extends BackendBehaviour {
   override async handle (exchange: BackendExchange): Promise<void> {
     await exchange.execute()
-    exchange.cut()
+    exchange.closeConnection()
   }
 }
 
 /**
- * Gives the behaviour of a name; `lateMs` is used by `answer_late`.
+ * Creates the behaviour with the given name; `answerDelayMs` applies to `answer_late` only.
  *
  * @example
- * backendBehaviour('answer_late', 500)
+ * createBackendBehaviour('answer_late', 500)
  */
-export function backendBehaviour (name: BackendBehaviourName, lateMs = 1_000): BackendBehaviour {
+export function createBackendBehaviour (name: BackendBehaviourName, answerDelayMs = 1_000): BackendBehaviour {
   switch (name) {
     case 'serve': return new ServeBehaviour()
     case 'reject': return new RejectBehaviour()
     case 'fail_fast': return new FailFastBehaviour()
     case 'freeze': return new FreezeBehaviour()
-    case 'answer_late': return new AnswerLateBehaviour(lateMs)
+    case 'answer_late': return new AnswerLateBehaviour(answerDelayMs)
     case 'cut_after_executing': return new CutAfterExecutingBehaviour()
   }
 }
--- a/packages/standins/src/backend-server.ts
+++ b/packages/standins/src/backend-server.ts
@@ -1,4 +1,4 @@
-/** A stand-in for a users' backend server: announces itself, executes short requests and records each execution. */
+/** A stand-in for a user's backend server: registers itself, executes short requests and records each execution. */
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import { setTimeout as delay } from 'node:timers/promises'
 import type { BackendServerRecord, Clock } from '@comfreygrade/core'
@@ -6,27 +6,26 @@
 import { EntryClient } from './entry-client.js'
 import { Heartbeat } from './heartbeat.js'
 import { LoopbackServer, readBody } from './loopback-server.js'
-import { Slots } from './slots.js'
+import { SlotSemaphore } from './slots.js'
 import { SystemClock } from './system-clock.js'
 
-/** Settings of a stand-in backend server. */
 export interface BackendServerSettings {
   readonly backendServerId: string
-  /** Base URLs of entry nodes; none for a server that is only called directly. */
-  readonly entries: readonly string[]
+  /** Base URLs of entry nodes; empty for a server that is only called directly. */
+  readonly entryAddresses: readonly string[]
   readonly region: string
   readonly availabilityZone: string
   readonly services: readonly string[]
   readonly slots: number
   readonly connections: number
-  /** Service time where the request names none. */
+  /** Service time of requests that specify none. */
   readonly serviceMs: number
-  /** 0 takes a free port. */
+  /** 0 selects a free port. */
   readonly port: number
   readonly heartbeatTimeoutMs: number
 }
 
-/** One execution of a request. Times are monotonic milliseconds of the process. */
+/** One execution of a request. Times are in milliseconds on the process's monotonic clock. */
 export interface ExecutionRecord {
   readonly requestId: string
   readonly attempt: string
@@ -40,7 +39,7 @@
 
 const DEFAULT_SETTINGS: BackendServerSettings = {
   backendServerId: 'backend-server-1',
-  entries: [],
+  entryAddresses: [],
   region: 'montevideo',
   availabilityZone: 'montevideo-a',
   services: ['charge'],
@@ -51,31 +50,31 @@
   heartbeatTimeoutMs: 1_000
 }
 
-/** Interval until an entry node has answered with its own. */
-const FIRST_HEARTBEAT_INTERVAL_MS = 500
+/** Heartbeat interval until an entry node's response specifies one. */
+const INITIAL_HEARTBEAT_INTERVAL_MS = 500
 
-/** Announces itself under one incarnation and serves `POST /{service}`. */
+/** Registers itself under one incarnation and serves `POST /{service}`. */
 export class StandInBackendServer {
   readonly #settings: BackendServerSettings
   readonly #clock: Clock
-  readonly #server = new LoopbackServer(async (request, response) => { await this.#handle(request, response) })
-  readonly #entries: EntryClient
-  readonly #heartbeat = new Heartbeat(async () => { await this.#announce() }, () => this.#heartbeatIntervalMs)
-  readonly #slots: Slots
+  readonly #server = new LoopbackServer(async (request, response) => { await this.#handleRequest(request, response) })
+  readonly #entryClient: EntryClient
+  readonly #heartbeat = new Heartbeat(async () => { await this.#sendHeartbeat() }, () => this.#heartbeatIntervalMs)
+  readonly #slotSemaphore: SlotSemaphore
   readonly #executions: ExecutionRecord[] = []
   #behaviour: BackendBehaviour = new ServeBehaviour()
   #incarnation = 0
   #sequence = 0
-  #heartbeatIntervalMs = FIRST_HEARTBEAT_INTERVAL_MS
+  #heartbeatIntervalMs = INITIAL_HEARTBEAT_INTERVAL_MS
   #openRequests = 0
-  readonly #unanswered = new Set<HttpExchange>()
+  readonly #unansweredExchanges = new Set<HttpExchange>()
   #isStopping = false
   #acceptedHeartbeats = 0
   #serviceMs: number
 
   /**
    * @example
-   * const server = new StandInBackendServer({ backendServerId: 'b1', entries: ['http://127.0.0.1:8080'] })
+   * const server = new StandInBackendServer({ backendServerId: 'b1', entryAddresses: ['http://127.0.0.1:8080'] })
    * await server.start()
    * server.executions // []
    * await server.stop()
@@ -84,8 +83,8 @@
     this.#settings = { ...DEFAULT_SETTINGS, ...settings }
     this.#clock = clock
     this.#serviceMs = this.#settings.serviceMs
-    this.#slots = new Slots(this.#settings.slots)
-    this.#entries = new EntryClient(this.#settings.entries, this.#settings.heartbeatTimeoutMs)
+    this.#slotSemaphore = new SlotSemaphore(this.#settings.slots)
+    this.#entryClient = new EntryClient(this.#settings.entryAddresses, this.#settings.heartbeatTimeoutMs)
   }
 
   /** Base URL that requests are sent to. */
@@ -93,83 +92,83 @@
     return this.#server.address
   }
 
-  /** Every execution so far, in order of its end. */
+  /** Every execution so far, in order of completion. */
   get executions (): readonly ExecutionRecord[] {
     return this.#executions
   }
 
-  /** Heartbeats that an entry node accepted. */
+  /** Number of heartbeats that an entry node accepted. */
   get acceptedHeartbeats (): number {
     return this.#acceptedHeartbeats
   }
 
-  /** Requests received and not answered yet. */
+  /** Number of requests that the behaviour is still handling. */
   get openRequests (): number {
     return this.#openRequests
   }
 
-  /** Requests that a behaviour left without an answer. */
+  /** Number of requests that a behaviour left without a response. */
   get unansweredRequests (): number {
-    return this.#unanswered.size
+    return this.#unansweredExchanges.size
   }
 
-  /** Replaces the behaviour for requests that arrive from now on. */
-  behave (behaviour: BackendBehaviour): void {
+  /** Sets the behaviour for requests that arrive from now on. */
+  setBehaviour (behaviour: BackendBehaviour): void {
     this.#behaviour = behaviour
   }
 
-  /** Replaces the service time of requests that name none. */
+  /** Sets the service time of requests that specify none. */
   setServiceMs (serviceMs: number): void {
     this.#serviceMs = serviceMs
   }
 
-  /** Opens the port and announces the server. */
+  /** Opens the port and starts the heartbeats, which register the server. */
   async start (): Promise<void> {
     await this.#server.listen(this.#settings.port)
     this.#incarnation = this.#clock.wallMs()
-    if (this.#settings.entries.length > 0) this.#heartbeat.start()
+    if (this.#settings.entryAddresses.length > 0) this.#heartbeat.start()
   }
 
   /**
-   * Leaves gracefully: tells an entry node, finishes open requests, then closes the port. Requests that a behaviour
-   * left without an answer, as a frozen server does, are cut, since nothing would ever end them.
+   * Shuts down gracefully: deregisters, finishes open requests, then closes the port. Connections of requests that a
+   * behaviour left without a response, such as those of a frozen server, are closed, since nothing else would end them.
    */
   async stop (): Promise<void> {
-    await this.leave()
+    await this.deregister()
     this.#isStopping = true
-    for (const exchange of this.#unanswered) exchange.cut()
+    for (const exchange of this.#unansweredExchanges) exchange.closeConnection()
     await this.#server.close()
-    await this.#entries.close()
+    await this.#entryClient.close()
   }
 
-  /** Ends the heartbeats and tells an entry node; the port stays open for requests under way. */
-  async leave (): Promise<void> {
+  /** Stops the heartbeats and deregisters at an entry node; the port stays open for requests in progress. */
+  async deregister (): Promise<void> {
     await this.#heartbeat.stop()
-    if (this.#settings.entries.length > 0) await this.#entries.send('DELETE', this.#path)
+    if (this.#settings.entryAddresses.length > 0) await this.#entryClient.send('DELETE', this.#registrationPath)
   }
 
-  /** Ends at once, as a killed process does. */
+  /** Closes the port and all connections without deregistering, like a killed process. */
   async kill (): Promise<void> {
-    const stopped = this.#heartbeat.stop()
-    await this.#entries.close()
+    const heartbeatStopped = this.#heartbeat.stop()
+    await this.#entryClient.close()
     await this.#server.destroy()
-    await stopped
+    await heartbeatStopped
   }
 
-  get #path (): string {
+  get #registrationPath (): string {
     return `/v1/backend-servers/${this.#settings.backendServerId}`
   }
 
-  async #announce (): Promise<void> {
-    if (!this.#behaviour.isAnnounced) return
-    const answer = await this.#entries.send('PUT', this.#path, this.#record())
-    if (answer.kind !== 'answered' || answer.status >= 300) return
+  async #sendHeartbeat (): Promise<void> {
+    if (!this.#behaviour.sendsHeartbeats) return
+    const response = await this.#entryClient.send('PUT', this.#registrationPath, this.#createHeartbeatBody())
+    if (response.kind !== 'answered' || response.status >= 300) return
     this.#acceptedHeartbeats++
-    const { heartbeatIntervalMs } = answer.body as { heartbeatIntervalMs?: number }
+    const { heartbeatIntervalMs } = response.body as { heartbeatIntervalMs?: number }
     this.#heartbeatIntervalMs = heartbeatIntervalMs ?? this.#heartbeatIntervalMs
   }
 
-  #record (): Omit<BackendServerRecord, 'backendServerId' | 'state'> {
+  #createHeartbeatBody (): Omit<BackendServerRecord, 'backendServerId' | 'state'> {
     const { region, availabilityZone, services, slots, connections } = this.#settings
     this.#sequence++
     return {
@@ -184,7 +183,7 @@
     }
   }
 
-  async #handle (request: IncomingMessage, response: ServerResponse): Promise<void> {
+  async #handleRequest (request: IncomingMessage, response: ServerResponse): Promise<void> {
     const url = new URL(request.url ?? '/', this.address)
     const service = url.pathname.slice(1)
     const body = await readBody(request)
@@ -192,7 +191,7 @@
       await this.#execute(request, service, body, this.#requestedServiceMs(request, url))
     })
     if (request.method !== 'POST' || !this.#settings.services.includes(service)) {
-      exchange.refuse(404, true)
+      exchange.respondWithError(404, true)
       return
     }
     await this.#serve(exchange)
@@ -200,7 +199,7 @@
 
   async #serve (exchange: HttpExchange): Promise<void> {
     if (this.#openRequests >= this.#settings.connections) {
-      exchange.refuse(503, true)
+      exchange.respondWithError(503, true)
       return
     }
     this.#openRequests++
@@ -210,28 +209,30 @@
       this.#openRequests--
     }
     if (exchange.isEnded) return
-    if (this.#isStopping) exchange.cut()
-    else this.#unanswered.add(exchange)
+    if (this.#isStopping) exchange.closeConnection()
+    else this.#unansweredExchanges.add(exchange)
   }
 
   #requestedServiceMs (request: IncomingMessage, url: URL): number {
-    const requested = request.headers['standin-service-ms'] ?? url.searchParams.get('serviceMs')
-    return requested === null ? this.#serviceMs : Number(requested)
+    const requestedMs = request.headers['standin-service-ms'] ?? url.searchParams.get('serviceMs')
+    return requestedMs === null ? this.#serviceMs : Number(requestedMs)
   }
 
   async #execute (request: IncomingMessage, service: string, body: Buffer, serviceMs: number): Promise<void> {
-    await this.#slots.take()
+    await this.#slotSemaphore.acquire()
     try {
       const startedMs = this.#clock.monotonicMs()
       if (serviceMs > 0) await delay(serviceMs)
-      this.#executions.push({ ...requestLabels(request), service, body, startedMs, endedMs: this.#clock.monotonicMs() })
+      this.#executions.push({
+        ...readRequestHeaders(request), service, body, startedMs, endedMs: this.#clock.monotonicMs()
+      })
     } finally {
-      this.#slots.release()
+      this.#slotSemaphore.release()
     }
   }
 }
 
-function requestLabels (request: IncomingMessage) {
+function readRequestHeaders (request: IncomingMessage) {
   const header = (name: string): string => String(request.headers[name] ?? '')
   return {
     requestId: header('comfreygrade-request-id'),
@@ -241,7 +242,6 @@
   }
 }
 
-/** One request over HTTP. */
 class HttpExchange implements BackendExchange {
   readonly #response: ServerResponse
   readonly #body: Buffer
@@ -253,7 +253,7 @@
     this.#execute = execute
   }
 
-  /** Whether an answer was sent or the connection was lost. */
+  /** Whether a response was sent or the connection was lost. */
   get isEnded (): boolean {
     return this.#response.writableEnded || this.#response.destroyed
   }
@@ -262,12 +262,12 @@
     await this.#execute()
   }
 
-  answer (): void {
+  respond (): void {
     this.#response.writeHead(200, { 'content-type': this.#response.req.headers['content-type'] ?? 'text/plain' })
     this.#response.end(this.#body)
   }
 
-  refuse (status: number, isNotRun: boolean): void {
+  respondWithError (status: number, isNotRun: boolean): void {
     this.#response.writeHead(status, {
       'content-type': 'text/plain',
       ...(isNotRun ? { 'comfreygrade-not-run': 'true' } : {})
@@ -275,7 +275,7 @@
     this.#response.end(isNotRun ? 'not run' : 'failed')
   }
 
-  cut (): void {
+  closeConnection (): void {
     this.#response.req.socket.destroy()
   }
 }
--- a/packages/standins/src/demo-fleet.ts
+++ b/packages/standins/src/demo-fleet.ts
@@ -1,14 +1,14 @@
-/** Stand-ins of the demo: the workers of the inventory and two backend servers a region. */
+/** Stand-ins of the demo: the workers of the inventory, and two backend servers per region. */
 import type { ConfigurationDocument } from '@comfreygrade/core'
 import { StandInBackendServer } from './backend-server.js'
-import { demoRunMs } from './demo-workload.js'
+import { demoRunMsByClass } from './demo-workload.js'
 import { RunTimeByClass } from './run-times.js'
 import { StandInWorker } from './worker.js'
 
-/** Run time of a job class that the demo does not name. */
-const DEFAULT_RUN_MS = 1_000
+/** Run time of tasks whose job class is not in `demoRunMsByClass`. */
+const DEFAULT_RUN_TIME_MS = 1_000
 
-const SERVERS_PER_REGION = 2
+const BACKEND_SERVERS_PER_REGION = 2
 
 /** Starts and stops the stand-ins together. */
 export class DemoFleet {
@@ -21,31 +21,31 @@
    * await fleet.start()
    * await fleet.stop()
    */
-  constructor (document: ConfigurationDocument, entries: readonly string[]) {
-    const runTimes = new RunTimeByClass(demoRunMs, DEFAULT_RUN_MS)
+  constructor (document: ConfigurationDocument, entryAddresses: readonly string[]) {
+    const runTimes = new RunTimeByClass(demoRunMsByClass, DEFAULT_RUN_TIME_MS)
     this.workers = document.workers.map(({ workerId, accelerators }, index) => (
-      new StandInWorker({ workerId, accelerators, runTimes, entries: rotate(entries, index) })))
+      new StandInWorker({ workerId, accelerators, runTimes, entries: rotate(entryAddresses, index) })))
     const regions = [...new Set(document.racks.map(rack => rack.region))]
-    this.backendServers = regions.flatMap(region => Array.from({ length: SERVERS_PER_REGION }, (_, index) => (
+    this.backendServers = regions.flatMap(region => Array.from({ length: BACKEND_SERVERS_PER_REGION }, (_, index) => (
       new StandInBackendServer({
         backendServerId: `${region}-b${index + 1}`,
         region,
         availabilityZone: `${region}-a`,
-        entries: rotate(entries, index)
+        entryAddresses: rotate(entryAddresses, index)
       }))))
   }
 
-  /** Starts and announces all of them. */
+  /** Starts all stand-ins, which register themselves. */
   async start (): Promise<void> {
     await Promise.all(this.#all.map(async standIn => await standIn.start()))
   }
 
-  /** Lets all of them leave gracefully. */
+  /** Shuts all stand-ins down gracefully. */
   async stop (): Promise<void> {
     await Promise.all(this.#all.map(async standIn => await standIn.stop()))
   }
 
-  /** Ends all of them at once. */
+  /** Stops all stand-ins without deregistering them. */
   async kill (): Promise<void> {
     await Promise.all(this.#all.map(async standIn => await standIn.kill()))
   }
@@ -55,8 +55,8 @@
   }
 }
 
-/** Spreads the announcements over the entry nodes. */
-function rotate (entries: readonly string[], by: number): string[] {
-  const start = by % entries.length
-  return [...entries.slice(start), ...entries.slice(0, start)]
+/** Spreads the heartbeats of the stand-ins over the entry nodes. */
+function rotate (addresses: readonly string[], offset: number): string[] {
+  const start = offset % addresses.length
+  return [...addresses.slice(start), ...addresses.slice(0, start)]
 }
--- a/packages/standins/src/demo-workload.ts
+++ b/packages/standins/src/demo-workload.ts
@@ -1,4 +1,4 @@
-/** What the demo asks of the system: gang jobs and short requests, each with its check. */
+/** Workload of the demo: gang jobs and short requests, with checks of their results. */
 import { setTimeout as delay } from 'node:timers/promises'
 import type { ErrorBody, JobSpec } from '@comfreygrade/core'
 import {
@@ -7,18 +7,17 @@
 import type { StandInBackendServer } from './backend-server.js'
 import { waitFor } from './waiting.js'
 
-/** Longest wait for all jobs of the demo. */
-const JOBS_LIMIT_MS = 60_000
+const JOBS_TIMEOUT_MS = 60_000
 
-/** How long a request is repeated as its refusals advise, for example until each entry node knows the servers. */
-const REQUEST_LIMIT_MS = 15_000
+/** Limit for retries of a refused request, for example until its entry node knows the backend servers. */
+const REQUEST_RETRY_TIMEOUT_MS = 15_000
 
-/** Requests of each kind. */
-const REQUESTS = 60
+/** The kinds are idempotent, non-repeatable, and repeated with the same key. */
+const REQUESTS_PER_KIND = 60
 
 const ORGANISATIONS = ['universidad-norte', 'universidad-sur', 'instituto-costa', 'escuela-tecnica'] as const
 
-const SMALL_JOB: Omit<JobSpec, 'jobId'> = {
+const PAGE_COUNT_JOB: Omit<JobSpec, 'jobId'> = {
   organisationId: 'escuela-tecnica',
   jobClass: 'page-count',
   tasks: 1,
@@ -32,8 +31,8 @@
   preemption: 'repeat'
 }
 
-const RECONCILIATION: Omit<JobSpec, 'jobId'> = {
-  ...SMALL_JOB,
+const RECONCILIATION_JOB: Omit<JobSpec, 'jobId'> = {
+  ...PAGE_COUNT_JOB,
   organisationId: 'universidad-norte',
   jobClass: 'reconciliation',
   tasks: 2,
@@ -43,48 +42,48 @@
   preemption: 'checkpoint'
 }
 
-/** Jobs in order of submission; `audit-1` needs the whole fleet, so it has to wait for the others. */
+/** Jobs in order of submission; `audit-1` needs the whole fleet, so it waits until the others have ended. */
 export const demoJobs: readonly JobSpec[] = [
-  { ...RECONCILIATION, jobId: 'reconciliation-1' },
-  { ...RECONCILIATION, jobId: 'reconciliation-2', organisationId: 'universidad-sur' },
-  { ...SMALL_JOB, jobId: 'page-count-1' },
-  { ...SMALL_JOB, jobId: 'page-count-2', organisationId: 'instituto-costa' },
-  { ...RECONCILIATION, jobId: 'audit-1', jobClass: 'audit', tasks: 6, adjacency: 'none', declaredRunMs: 2_000 }
+  { ...RECONCILIATION_JOB, jobId: 'reconciliation-1' },
+  { ...RECONCILIATION_JOB, jobId: 'reconciliation-2', organisationId: 'universidad-sur' },
+  { ...PAGE_COUNT_JOB, jobId: 'page-count-1' },
+  { ...PAGE_COUNT_JOB, jobId: 'page-count-2', organisationId: 'instituto-costa' },
+  { ...RECONCILIATION_JOB, jobId: 'audit-1', jobClass: 'audit', tasks: 6, adjacency: 'none', declaredRunMs: 2_000 }
 ]
 
-/** Run times of the stand-in workers by job class. */
-export const demoRunMs: Readonly<Record<string, number>> = { reconciliation: 5_000, 'page-count': 4_000, audit: 1_500 }
+/** Run times of tasks on the stand-in workers by job class. */
+export const demoRunMsByClass: Readonly<Record<string, number>> = { reconciliation: 5_000, 'page-count': 4_000, audit: 1_500 }
 
 /** Job whose explanation is shown while it waits. */
 export const WAITING_JOB_ID = 'audit-1'
 
 /**
- * Submits the jobs and waits until all but the last are placed.
+ * Submits the jobs and waits until all but the waiting one run or have ended.
  *
  * @example
  * const placed = await submitDemoJobs(client)
  */
 export async function submitDemoJobs (client: NodeClient): Promise<readonly JobAnswer[]> {
   for (const job of demoJobs) await client.submitJob(job)
-  return await waitFor('the first jobs to run', JOBS_LIMIT_MS, async () => {
+  return await waitFor('the first jobs to run', JOBS_TIMEOUT_MS, async () => {
     const { jobs } = await client.jobs()
     const isStarted = ({ spec, phase }: JobAnswer) => spec.jobId === WAITING_JOB_ID || phase === 'running' || phase === 'ended'
     return jobs.length === demoJobs.length && jobs.every(isStarted) ? jobs : undefined
   })
 }
 
-/** Waits until every job has completed; a job that ended otherwise is an error. */
-export async function awaitDemoJobs (client: NodeClient): Promise<readonly JobAnswer[]> {
-  const jobs = await waitFor('all jobs to end', JOBS_LIMIT_MS, async () => {
+/** Waits until every job has ended; rejects if one did not complete. */
+export async function waitForDemoJobs (client: NodeClient): Promise<readonly JobAnswer[]> {
+  const jobs = await waitFor('all jobs to end', JOBS_TIMEOUT_MS, async () => {
     const answer = await client.jobs()
     return answer.jobs.every(({ phase }) => phase === 'ended') ? answer.jobs : undefined
   })
-  const wrong = jobs.filter(({ outcome }) => outcome !== 'completed')
-  if (wrong.length > 0) throw new Error(`jobs that did not complete: ${JSON.stringify(wrong)}`)
+  const notCompleted = jobs.filter(({ outcome }) => outcome !== 'completed')
+  if (notCompleted.length > 0) throw new Error(`jobs that did not complete: ${JSON.stringify(notCompleted)}`)
   return jobs
 }
 
-/** What the short requests of the demo led to. */
+/** Counts of the demo's short requests, printed under these names. */
 export interface RequestSummary {
   readonly idempotentAnswers: number
   readonly nonRepeatableAnswers: number
@@ -93,8 +92,8 @@
 }
 
 /**
- * Sends idempotent and non-repeatable requests, then each non-repeatable one again with the same key, and checks that
- * every caller got its own answer and that no key was executed twice.
+ * Sends idempotent and non-repeatable requests, then each non-repeatable one again with the same key. Checks that every
+ * response echoes the body of its own request and that no key was executed twice.
  *
  * @example
  * const summary = await sendDemoRequests(clients, servers)
@@ -102,10 +101,10 @@
 export async function sendDemoRequests (
   clients: readonly NodeClient[], servers: readonly StandInBackendServer[]
 ): Promise<RequestSummary> {
-  const numbers = Array.from({ length: REQUESTS }, (_, index) => index)
-  const keys = numbers.map(() => uuidV7(Date.now()))
+  const indexes = Array.from({ length: REQUESTS_PER_KIND }, (_, index) => index)
+  const keys = indexes.map(() => uuidV7(Date.now()))
   const sendAll = async (keyOf: (index: number) => string | undefined) => (
-    await Promise.all(numbers.map(async index => await sendOne(clients, index, keyOf(index)))))
+    await Promise.all(indexes.map(async index => await sendDemoRequest(clients, index, keyOf(index)))))
   const idempotent = await sendAll(() => undefined)
   const first = await sendAll(index => keys[index])
   const repeated = await sendAll(index => keys[index])
@@ -113,8 +112,8 @@
   if (new Set(executions.map(({ idempotencyKey }) => idempotencyKey)).size !== executions.length) {
     throw new Error('a non-repeatable request was executed twice')
   }
-  if (executions.length !== REQUESTS) {
-    throw new Error(`${REQUESTS} non-repeatable requests were answered, ${executions.length} executed`)
+  if (executions.length !== REQUESTS_PER_KIND) {
+    throw new Error(`${REQUESTS_PER_KIND} non-repeatable requests got a response, but ${executions.length} were executed`)
   }
   return {
     idempotentAnswers: idempotent.length,
@@ -124,36 +123,36 @@
   }
 }
 
-async function sendOne (
+async function sendDemoRequest (
   clients: readonly NodeClient[], index: number, idempotencyKey: string | undefined
 ): Promise<ShortRequestAnswer> {
   const client = clients[index % clients.length]
   const organisationId = ORGANISATIONS[index % ORGANISATIONS.length]
-  if (client === undefined || organisationId === undefined) throw new Error('no entry node to send to')
+  if (client === undefined || organisationId === undefined) throw new Error('no entry node to send the request to')
   const body = Buffer.from(`page ${index}`)
   const repeatability = idempotencyKey === undefined ? 'idempotent' : 'non-repeatable'
   const request = { service: 'charge', organisationId, repeatability, body, contentType: 'text/plain', idempotencyKey } as const
-  const answer = await sendAsAdvised(client, request)
-  if (answer.status !== 200 || !answer.body.equals(body)) {
-    throw new Error(`request ${index} was answered with status ${answer.status} and another body`)
+  const response = await sendWithRetries(client, request)
+  if (response.status !== 200 || !response.body.equals(body)) {
+    throw new Error(`request ${index}: status ${response.status} or a body that differs from the request's`)
   }
-  return answer
+  return response
 }
 
-/** Repeats a refused request where its refusal says so; the same key makes every repeat of a keyed request safe. */
-async function sendAsAdvised (client: NodeClient, request: ShortRequest): Promise<ShortRequestAnswer> {
-  const endsMs = performance.now() + REQUEST_LIMIT_MS
+/** Retries a refused request as its refusal allows; an idempotency key makes every retry of its request safe. */
+async function sendWithRetries (client: NodeClient, request: ShortRequest): Promise<ShortRequestAnswer> {
+  const retryUntilMs = performance.now() + REQUEST_RETRY_TIMEOUT_MS
   for (;;) {
     try {
       return await client.sendRequest(request)
     } catch (error) {
       const refusal = error instanceof ClientError && error.problem.kind === 'refused' ? error.problem.body : undefined
-      if (refusal === undefined || !mayRepeat(refusal, request) || performance.now() > endsMs) throw error
+      if (refusal === undefined || !isRetryable(refusal, request) || performance.now() > retryUntilMs) throw error
       await delay(refusal.retryAfterMs)
     }
   }
 }
 
-function mayRepeat ({ repeat }: ErrorBody, { idempotencyKey }: ShortRequest): boolean {
+function isRetryable ({ repeat }: ErrorBody, { idempotencyKey }: ShortRequest): boolean {
   return repeat === 'now' || repeat === 'later' || (repeat === 'ask_outcome' && idempotencyKey !== undefined)
 }
--- a/packages/standins/src/entry-client.ts
+++ b/packages/standins/src/entry-client.ts
@@ -1,53 +1,53 @@
-/** How stand-ins reach the system: one of several entry addresses, the next one where the last did not answer. */
+/** HTTP client of the stand-ins that fails over between the addresses of several entry nodes. */
 import { Agent, request } from 'undici'
 
-/** What an entry node answered, or that none did. */
-export type EntryAnswer =
+/** The response of an entry node, or why there was none. */
+export type EntryResponse =
   | { readonly kind: 'answered', readonly status: number, readonly body: unknown }
   | { readonly kind: 'unreachable', readonly detail: string }
 
-/** Methods that stand-ins use; both are safe to repeat at another entry node. */
+/** Methods that stand-ins use; both are idempotent, so they can be repeated at another entry node. */
 export type EntryMethod = 'PUT' | 'DELETE'
 
 /**
- * Sends announcements to entry nodes.
+ * Sends heartbeats and deregistrations to entry nodes.
  *
  * @example
  * const client = new EntryClient(['http://127.0.0.1:8080'], 1_000)
  * await client.send('PUT', '/v1/workers/w1', { incarnation: 1, sequence: 1, address, tasks: [] })
  */
 export class EntryClient {
-  readonly #entries: readonly string[]
+  readonly #addresses: readonly string[]
   readonly #timeoutMs: number
   readonly #agent: Agent
-  #preferred = 0
+  #preferredIndex = 0
 
-  constructor (entries: readonly string[], timeoutMs: number) {
-    this.#entries = entries
+  constructor (addresses: readonly string[], timeoutMs: number) {
+    this.#addresses = addresses
     this.#timeoutMs = timeoutMs
     this.#agent = new Agent({ connect: { timeout: timeoutMs } })
   }
 
-  /** Tries each entry address once, from the one that answered last, until one answers below status 500. */
-  async send (method: EntryMethod, path: string, body?: unknown): Promise<EntryAnswer> {
-    let answer: EntryAnswer = { kind: 'unreachable', detail: 'no entry address is set' }
-    for (let tries = 0; tries < this.#entries.length; tries++) {
-      const entry = this.#entries[this.#preferred] ?? ''
-      answer = await this.#sendTo(entry, method, path, body)
-      if (answer.kind === 'answered' && answer.status < 500) return answer
-      this.#preferred = (this.#preferred + 1) % this.#entries.length
+  /** Tries each address once, starting with the last one that responded, until one responds with a status below 500. */
+  async send (method: EntryMethod, path: string, body?: unknown): Promise<EntryResponse> {
+    let response: EntryResponse = { kind: 'unreachable', detail: 'no entry address is configured' }
+    for (let attempts = 0; attempts < this.#addresses.length; attempts++) {
+      const address = this.#addresses[this.#preferredIndex] ?? ''
+      response = await this.#sendTo(address, method, path, body)
+      if (response.kind === 'answered' && response.status < 500) return response
+      this.#preferredIndex = (this.#preferredIndex + 1) % this.#addresses.length
     }
-    return answer
+    return response
   }
 
-  /** Closes the connections; requests under way end as unreachable. */
+  /** Closes the connections; requests in progress end as `unreachable`. */
   async close (): Promise<void> {
     await this.#agent.destroy()
   }
 
-  async #sendTo (entry: string, method: EntryMethod, path: string, body: unknown): Promise<EntryAnswer> {
+  async #sendTo (address: string, method: EntryMethod, path: string, body: unknown): Promise<EntryResponse> {
     try {
-      const response = await request(entry + path, {
+      const response = await request(address + path, {
         method,
         dispatcher: this.#agent,
         signal: AbortSignal.timeout(this.#timeoutMs),
@@ -55,7 +55,7 @@
       })
       return { kind: 'answered', status: response.statusCode, body: parseJson(await response.body.text()) }
     } catch (error) {
-      return { kind: 'unreachable', detail: `${entry}: ${String(error)}` }
+      return { kind: 'unreachable', detail: `${address}: ${String(error)}` }
     }
   }
 }
--- a/packages/standins/src/free-ports.ts
+++ b/packages/standins/src/free-ports.ts
@@ -1,14 +1,14 @@
-/** Ports for processes that are started later. */
+/** Selects ports for processes that are started later. */
 import { createServer } from 'node:net'
 import { LOOPBACK_HOST } from './loopback-server.js'
 
-/** Below the range from which the operating system takes ports of outgoing connections, which could take them first. */
-const FIRST_PORT = 20_000
-const PORTS = 12_000
-/** Distance of the ports at which two processes that run at once begin to look. */
-const PORTS_PER_PROCESS = 64
+/** Below the ephemeral port range, from which an outgoing connection could take a port before its process starts. */
+const PORT_RANGE_START = 20_000
+const PORT_RANGE_LENGTH = 12_000
+/** Distance between the first ports that concurrent processes try, so that they seldom choose the same one. */
+const PORT_STEP_PER_PROCESS = 64
 
-let next = (process.pid * PORTS_PER_PROCESS) % PORTS
+let nextOffset = (process.pid * PORT_STEP_PER_PROCESS) % PORT_RANGE_LENGTH
 
 /**
  * Finds ports that nothing listens on.
@@ -19,8 +19,8 @@
 export async function findFreePorts (count: number): Promise<number[]> {
   const ports: number[] = []
   while (ports.length < count) {
-    const port = FIRST_PORT + next
-    next = (next + 1) % PORTS
+    const port = PORT_RANGE_START + nextOffset
+    nextOffset = (nextOffset + 1) % PORT_RANGE_LENGTH
     if (await isFree(port)) ports.push(port)
   }
   return ports
--- a/packages/standins/src/heartbeat.ts
+++ b/packages/standins/src/heartbeat.ts
@@ -1,54 +1,54 @@
-/** Repeats one asynchronous step at an interval, never two at once. */
+/** Sends heartbeats periodically, never two concurrently. */
 
 /**
- * Runs `beat` now, then again `intervalMs()` after each run has ended.
+ * Calls `send` at once, then again `intervalMs()` after each call has completed.
  *
  * @example
- * const heartbeat = new Heartbeat(async () => { await announce() }, () => 1_000)
+ * const heartbeat = new Heartbeat(async () => { await sendReport() }, () => 1_000)
  * heartbeat.start()
  * await heartbeat.stop()
  */
 export class Heartbeat {
-  readonly #beat: () => Promise<void>
+  readonly #send: () => Promise<void>
   readonly #intervalMs: () => number
   #timer: NodeJS.Timeout | undefined
-  #running: Promise<void> | undefined
-  #isStarted = false
-  #isWanted = false
+  #sending: Promise<void> | undefined
+  #isRunning = false
+  #isSendRequested = false
 
-  constructor (beat: () => Promise<void>, intervalMs: () => number) {
-    this.#beat = beat
+  constructor (send: () => Promise<void>, intervalMs: () => number) {
+    this.#send = send
     this.#intervalMs = intervalMs
   }
 
-  /** Starts the repetition with an immediate run. */
+  /** Starts the heartbeats with an immediate one. */
   start (): void {
-    this.#isStarted = true
-    this.beatNow()
+    this.#isRunning = true
+    this.sendNow()
   }
 
-  /** Runs without waiting for the interval; directly after a run that is under way. */
-  beatNow (): void {
-    if (!this.#isStarted) return
-    this.#isWanted = true
-    if (this.#running !== undefined) return
+  /** Sends without waiting for the interval, or directly after a send in progress. */
+  sendNow (): void {
+    if (!this.#isRunning) return
+    this.#isSendRequested = true
+    if (this.#sending !== undefined) return
     clearTimeout(this.#timer)
-    this.#running = this.#run()
+    this.#sending = this.#run()
   }
 
-  /** Ends the repetition; resolves once a run under way has ended, so that nothing is sent afterwards. */
+  /** Stops the heartbeats; resolves once a send in progress has completed, so that nothing is sent afterwards. */
   async stop (): Promise<void> {
-    this.#isStarted = false
+    this.#isRunning = false
     clearTimeout(this.#timer)
-    await this.#running
+    await this.#sending
   }
 
   async #run (): Promise<void> {
-    while (this.#isWanted && this.#isStarted) {
-      this.#isWanted = false
-      await this.#beat()
+    while (this.#isSendRequested && this.#isRunning) {
+      this.#isSendRequested = false
+      await this.#send()
     }
-    this.#running = undefined
-    if (this.#isStarted) this.#timer = setTimeout(() => this.beatNow(), this.#intervalMs())
+    this.#sending = undefined
+    if (this.#isRunning) this.#timer = setTimeout(() => this.sendNow(), this.#intervalMs())
   }
 }
--- a/packages/standins/src/index.ts
+++ b/packages/standins/src/index.ts
@@ -1,3 +1,4 @@
+/** Stand-ins: simulated workers, backend servers and networks, and processes of the product, for demos and tests. */
 export * from './backend-behaviour.js'
 export * from './backend-server.js'
 export * from './entry-client.js'
--- a/packages/standins/src/local.ts
+++ b/packages/standins/src/local.ts
@@ -1,14 +1,14 @@
-/** Runs a local system with stand-in backend servers until it is interrupted, for load measurements and trials. */
+/** `npm run local`: runs a local cluster with stand-in backend servers until SIGINT or SIGTERM, for load tests. */
 import { readFile } from 'node:fs/promises'
 import { join } from 'node:path'
 import { applyDocument, readConfigurationFile } from '@comfreygrade/cli'
 import meow from 'meow'
 import { StandInBackendServer } from './backend-server.js'
-import { LocalSystem } from './local-cluster.js'
+import { LocalCluster } from './local-cluster.js'
 import { waitFor } from './waiting.js'
 
-const INVENTORY = join(import.meta.dirname, '../../../examples/inventory.yaml')
-const LIMIT_MS = 20_000
+const INVENTORY_FILE = join(import.meta.dirname, '../../../examples/inventory.yaml')
+const STEP_TIMEOUT_MS = 20_000
 
 const cli = meow(`
   Usage
@@ -18,7 +18,7 @@
     --backends N    stand-in backend servers of service "charge" (4)
     --service-ms N  service time of each request (0)
 
-  Prints one JSON line with the addresses of entry nodes and backend servers, and ends on SIGINT.
+  Prints one JSON line with the addresses of entry nodes and backend servers, and runs until SIGINT or SIGTERM.
 `, {
   importMeta: import.meta,
   flags: {
@@ -27,19 +27,19 @@
   }
 })
 
-async function configure (system: LocalSystem): Promise<void> {
-  const client = system.client(system.nodes[0]?.nodeId ?? '')
-  const reading = readConfigurationFile('examples/inventory.yaml', await readFile(INVENTORY, 'utf8'))
-  if (reading.kind === 'invalid') throw new Error(JSON.stringify(reading.problems))
-  await waitFor('the inventory to be accepted', LIMIT_MS, async () => await applyDocument(client, reading.value))
-  await waitFor('the inventory to be in force', LIMIT_MS, async () =>
+async function applyInventory (cluster: LocalCluster): Promise<void> {
+  const client = cluster.client(cluster.nodes[0]?.nodeId ?? '')
+  const result = readConfigurationFile('examples/inventory.yaml', await readFile(INVENTORY_FILE, 'utf8'))
+  if (result.kind === 'invalid') throw new Error(JSON.stringify(result.problems))
+  await waitFor('the inventory to be accepted', STEP_TIMEOUT_MS, async () => await applyDocument(client, result.value))
+  await waitFor('the inventory to be in force', STEP_TIMEOUT_MS, async () =>
     (await client.configurationStatus()).isInForceEverywhere || undefined)
 }
 
-function createBackend (system: LocalSystem, index: number): StandInBackendServer {
+function createBackendServer (cluster: LocalCluster, index: number): StandInBackendServer {
   return new StandInBackendServer({
     backendServerId: `charge-${index}`,
-    entries: system.addresses,
+    entryAddresses: cluster.entryAddresses,
     region: 'montevideo',
     availabilityZone: 'montevideo-a',
     services: ['charge'],
@@ -49,14 +49,14 @@
   })
 }
 
-const system = await LocalSystem.start()
-await configure(system)
-const backends = Array.from({ length: cli.flags.backends }, (_, index) => createBackend(system, index))
-await Promise.all(backends.map(async backend => { await backend.start() }))
+const cluster = await LocalCluster.start()
+await applyInventory(cluster)
+const backendServers = Array.from({ length: cli.flags.backends }, (_, index) => createBackendServer(cluster, index))
+await Promise.all(backendServers.map(async backend => { await backend.start() }))
 for (const signal of ['SIGINT', 'SIGTERM'] as const) {
   process.once(signal, () => {
-    const ended = Promise.all([...backends.map(async backend => { await backend.kill() }), system.stop()])
+    const ended = Promise.all([...backendServers.map(async backend => { await backend.kill() }), cluster.stop()])
     ended.finally(() => { process.exit(0) })
   })
 }
-console.log(JSON.stringify({ entries: system.addresses, direct: backends.map(backend => `${backend.address}/charge`) }))
+console.log(JSON.stringify({ entries: cluster.entryAddresses, direct: backendServers.map(backend => `${backend.address}/charge`) }))
--- a/packages/standins/src/loopback-server.ts
+++ b/packages/standins/src/loopback-server.ts
@@ -5,14 +5,14 @@
 /** The only interface that stand-ins listen on. */
 export const LOOPBACK_HOST = '127.0.0.1'
 
-/** Largest body that a stand-in reads; the product's own limit is lower. */
+/** Largest body that a stand-in reads; the limit of the product itself is lower. */
 const MAX_BODY_BYTES = 64 * 1024 * 1024
 
 /** Handles one request; a rejection closes the connection. */
 export type RequestHandler = (request: IncomingMessage, response: ServerResponse) => Promise<void>
 
 /**
- * Listens on a port of the loopback interface; port 0 takes a free one.
+ * Listens on a port of the loopback interface; port 0 selects a free one.
  *
  * @example
  * const server = new LoopbackServer(async (_request, response) => { response.end('ok') })
@@ -25,10 +25,10 @@
 
   constructor (handler: RequestHandler) {
     this.#server = createServer((request, response) => {
-      response.once('finish', () => this.#closeIdleWhenClosing())
+      response.once('finish', () => this.#closeIdleConnectionsIfClosing())
       handler(request, response).catch(() => request.socket.destroy())
     })
-    // A caller that reuses a connection just as the server closes it sees a reset, so idle ones are kept for long.
+    // A client that reuses an idle connection while the server closes it sees a reset, so idle ones stay open for long.
     this.#server.keepAliveTimeout = 60_000
   }
 
@@ -47,7 +47,7 @@
     return this.#port
   }
 
-  /** Closes the port, lets open requests end and closes idle connections. */
+  /** Closes the port and idle connections, and waits for open requests to complete. */
   async close (): Promise<void> {
     this.#isClosing = true
     const closed = new Promise<void>(resolve => this.#server.close(() => resolve()))
@@ -55,15 +55,15 @@
     await closed
   }
 
-  /** Closes the port and every connection at once, as a killed process does. */
+  /** Closes the port and every connection at once, like a killed process. */
   async destroy (): Promise<void> {
     const closed = this.close()
     this.#server.closeAllConnections()
     await closed
   }
 
-  /** A connection that becomes idle after `close` was called would otherwise keep the server open. */
-  #closeIdleWhenClosing (): void {
+  /** A connection that becomes idle after the call of `close` would otherwise keep the server open. */
+  #closeIdleConnectionsIfClosing (): void {
     if (this.#isClosing) setImmediate(() => this.#server.closeIdleConnections())
   }
 }
@@ -78,13 +78,13 @@
   let sizeBytes = 0
   for await (const chunk of request as AsyncIterable<Buffer>) {
     sizeBytes += chunk.length
-    if (sizeBytes > MAX_BODY_BYTES) throw new RangeError(`the body exceeds ${MAX_BODY_BYTES} bytes`)
+    if (sizeBytes > MAX_BODY_BYTES) throw new RangeError(`request body exceeds ${MAX_BODY_BYTES} bytes`)
     chunks.push(chunk)
   }
   return Buffer.concat(chunks)
 }
 
-/** Sends a JSON answer. */
+/** Sends a JSON response. */
 export function sendJson (response: ServerResponse, status: number, value: unknown): void {
   response.writeHead(status, { 'content-type': 'application/json' })
   response.end(JSON.stringify(value))
--- a/packages/standins/src/main.ts
+++ b/packages/standins/src/main.ts
@@ -1,21 +1,21 @@
-/** Command that runs one stand-in until it is told to end (SIGTERM, SIGINT). */
+/** Command that runs one stand-in until SIGTERM or SIGINT. */
 import meow from 'meow'
-import { backendBehaviour, backendBehaviourNames } from './backend-behaviour.js'
+import { createBackendBehaviour, backendBehaviourNames } from './backend-behaviour.js'
 import { StandInBackendServer } from './backend-server.js'
 import { FixedRunTime } from './run-times.js'
 import { StandInWorker } from './worker.js'
-import { workerBehaviour, workerBehaviourNames } from './worker-behaviour.js'
+import { createWorkerBehaviour, workerBehaviourNames } from './worker-behaviour.js'
 
 const cli = meow(`
   Usage
     $ node main.js --kind backend-server|worker --id ID --entry URL [--entry URL ...]
 
   Options
-    --port        port on 127.0.0.1; 0 takes a free one (0)
+    --port        port on 127.0.0.1; 0 selects a free one (0)
     --region, --zone, --rack  where the stand-in is located; the rack is only printed
     --slots       slots of a backend server, accelerators of a worker (8)
     --service     service of a backend server; repeatable (charge)
-    --service-ms  service time of a request where it names none (5)
+    --service-ms  service time of requests that specify none (5)
     --run-ms      run time of a task (1000)
     --behaviour   backend server: serve, reject, fail_fast, freeze, answer_late, cut_after_executing
                   worker: work, refuse, fail
@@ -38,26 +38,32 @@
   }
 })
 
-/** What every stand-in of this command offers. */
 interface StandIn {
   readonly address: string
   start (): Promise<void>
   stop (): Promise<void>
 }
 
-function choose<T extends string> (name: string, names: readonly T[]): T {
+function parseName<T extends string> (name: string, names: readonly T[]): T {
   const chosen = names.find(candidate => candidate === name)
   if (chosen !== undefined) return chosen
-  console.error(`--behaviour ${name} is not known; allowed: ${names.join(', ')}`)
+  console.error(`unknown --behaviour "${name}"; expected one of: ${names.join(', ')}`)
   process.exit(2)
 }
 
 function createBackendServer (): StandIn {
   const { id, entry, port, region, zone, slots, service, serviceMs, behaviour } = cli.flags
   const server = new StandInBackendServer({
-    backendServerId: id, entries: entry, port, region, availabilityZone: zone, slots, services: service, serviceMs
+    backendServerId: id,
+    entryAddresses: entry,
+    port,
+    region,
+    availabilityZone: zone,
+    slots,
+    services: service,
+    serviceMs
   })
-  if (behaviour !== undefined) server.behave(backendBehaviour(choose(behaviour, backendBehaviourNames)))
+  if (behaviour !== undefined) server.setBehaviour(createBackendBehaviour(parseName(behaviour, backendBehaviourNames)))
   return server
 }
 
@@ -65,7 +71,7 @@
   const { id, entry, port, slots, runMs, behaviour } = cli.flags
   const runTimes = new FixedRunTime(runMs)
   const worker = new StandInWorker({ workerId: id, entries: entry, port, accelerators: slots, runTimes })
-  if (behaviour !== undefined) worker.behave(workerBehaviour(choose(behaviour, workerBehaviourNames)))
+  if (behaviour !== undefined) worker.setBehaviour(createWorkerBehaviour(parseName(behaviour, workerBehaviourNames)))
   return worker
 }
 
@@ -75,5 +81,5 @@
 for (const signal of ['SIGTERM', 'SIGINT'] as const) {
   process.once(signal, () => { standIn.stop().catch(() => { process.exitCode = 1 }) })
 }
-// Printed last: whoever reads it may send a signal at once.
+// Printed last, once the signal handlers are installed, since a reader can send a signal at once.
 console.log(JSON.stringify({ event: 'ready', kind, id, region, zone, rack, address: standIn.address }))
--- a/packages/standins/src/node-process.ts
+++ b/packages/standins/src/node-process.ts
@@ -1,40 +1,38 @@
-/** A process that the demo and failure tests start and end by its ID. */
+/** Starts and stops a node as a child process, for demos and failure tests. */
 import { type ChildProcess, spawn } from 'node:child_process'
 import { createInterface } from 'node:readline'
 
-/** Log lines kept for the report of a failure. */
-const KEPT_LOG_LINES = 20
+/** Latest log lines kept to explain a failure. */
+const MAX_LOG_LINES = 20
 
-/** How a process ended. */
-export interface ProcessEnd {
+/** Exit code of a process, or the signal that ended it. */
+export interface ProcessExit {
   readonly code: number | null
   readonly signal: string | null
 }
 
-/** Runs a Node.js script that prints a JSON line with `ready` on stdout and logs on stderr. */
+/** Runs a Node.js script that logs to stderr and, once ready, prints a JSON line that contains `ready` to stdout. */
 export class NodeProcess {
   readonly name: string
   readonly #child: ChildProcess
   readonly #logLines: string[] = []
   readonly #ready: Promise<void>
-  readonly #ended: Promise<ProcessEnd>
+  readonly #exited: Promise<ProcessExit>
 
   /**
    * @example
    * const process = new NodeProcess('montevideo-1', 'packages/node/dist/main.js', ['--settings', file])
-   * await process.ready(20_000)
    * await process.stop(15_000)
    */
   constructor (name: string, script: string, argv: readonly string[]) {
     this.name = name
     this.#child = spawn(process.execPath, [script, ...argv], { stdio: ['ignore', 'pipe', 'pipe'] })
-    this.#ended = new Promise(resolve => this.#child.once('close', (code, signal) => resolve({ code, signal })))
+    this.#exited = new Promise(resolve => this.#child.once('close', (code, signal) => resolve({ code, signal })))
     this.#ready = this.#readOutput()
-    // A process that ends before it is ready is reported by `ready`; without a waiter it is no error.
+    // Without this, the early exit of a process would be an unhandled rejection if nobody waits for its ready line.
     this.#ready.catch(() => {})
   }
 
-  /** Process ID. */
   get pid (): number {
     return this.#child.pid ?? 0
   }
@@ -44,44 +42,44 @@
     return this.#logLines
   }
 
-  /** Resolves once the process has printed its ready line; rejects where it ends or `limitMs` passes before. */
-  async ready (limitMs: number): Promise<void> {
-    await withinLimit(this.#ready, limitMs, `${this.name} was not ready after ${limitMs} ms`)
+  /** Resolves once the process has printed its ready line; rejects if it exits before or `timeoutMs` elapses. */
+  async ready (timeoutMs: number): Promise<void> {
+    await withTimeout(this.#ready, timeoutMs, `${this.name} was not ready after ${timeoutMs} ms`)
   }
 
-  /** Asks the process to end and waits; after `limitMs` it is killed and the promise rejects. */
-  async stop (limitMs: number): Promise<ProcessEnd> {
+  /** Sends SIGTERM and waits for the exit; after `timeoutMs` the process is killed and the promise rejects. */
+  async stop (timeoutMs: number): Promise<ProcessExit> {
     this.#child.kill('SIGTERM')
     try {
-      return await withinLimit(this.#ended, limitMs, `${this.name} did not end within ${limitMs} ms`)
+      return await withTimeout(this.#exited, timeoutMs, `${this.name} did not end within ${timeoutMs} ms`)
     } catch (error) {
       await this.kill()
       throw error
     }
   }
 
-  /** Kills the process, as a VM that fails does. */
-  async kill (): Promise<ProcessEnd> {
+  /** Kills the process with SIGKILL, which simulates a VM failure. */
+  async kill (): Promise<ProcessExit> {
     this.#child.kill('SIGKILL')
-    return await this.#ended
+    return await this.#exited
   }
 
   async #readOutput (): Promise<void> {
     const { stdout, stderr } = this.#child
-    if (stdout === null || stderr === null) throw new Error(`${this.name} has no output`)
-    createInterface({ input: stderr }).on('line', line => this.#keep(line))
+    if (stdout === null || stderr === null) throw new Error(`${this.name}: stdout or stderr is not piped`)
+    createInterface({ input: stderr }).on('line', line => this.#appendLogLine(line))
     await new Promise<void>((resolve, reject) => {
       createInterface({ input: stdout }).on('line', line => { if (isReadyLine(line)) resolve() })
-      const fail = ({ code, signal }: ProcessEnd) => {
+      const rejectOnExit = ({ code, signal }: ProcessExit) => {
         reject(new Error(`${this.name} ended with code ${code} and signal ${signal} before it was ready`))
       }
-      this.#ended.then(fail, reject)
+      this.#exited.then(rejectOnExit, reject)
     })
   }
 
-  #keep (line: string): void {
+  #appendLogLine (line: string): void {
     this.#logLines.push(line)
-    if (this.#logLines.length > KEPT_LOG_LINES) this.#logLines.shift()
+    if (this.#logLines.length > MAX_LOG_LINES) this.#logLines.shift()
   }
 }
 
@@ -93,13 +91,13 @@
   }
 }
 
-async function withinLimit<T> (promise: Promise<T>, limitMs: number, message: string): Promise<T> {
+async function withTimeout<T> (promise: Promise<T>, timeoutMs: number, message: string): Promise<T> {
   let timer: NodeJS.Timeout | undefined
-  const limit = new Promise<never>((_resolve, reject) => {
-    timer = setTimeout(() => reject(new Error(message)), limitMs)
+  const timeout = new Promise<never>((_resolve, reject) => {
+    timer = setTimeout(() => reject(new Error(message)), timeoutMs)
   })
   try {
-    return await Promise.race([promise, limit])
+    return await Promise.race([promise, timeout])
   } finally {
     clearTimeout(timer)
   }
--- a/packages/standins/src/node-settings.ts
+++ b/packages/standins/src/node-settings.ts
@@ -1,15 +1,15 @@
-/** Settings files of the demo's nodes (section 4.5 of the design page). */
+/** Settings files of the nodes of a local cluster (design page, section 4.5). */
 import { mkdir, writeFile } from 'node:fs/promises'
 import { join } from 'node:path'
 import { stringify } from 'yaml'
 import { findFreePorts } from './free-ports.js'
 import { LOOPBACK_HOST } from './loopback-server.js'
 
-/** What a node of the demo does. */
+/** Role of a node: `entry` nodes accept client requests, `control` nodes form the consensus group and schedule jobs. */
 export type NodeRole = 'entry' | 'control'
 
-/** One node of the demo. */
-export interface DemoNode {
+/** One node of a local cluster. */
+export interface LocalNode {
   readonly nodeId: string
   readonly region: string
   readonly roles: readonly NodeRole[]
@@ -20,7 +20,7 @@
   readonly address: string
 }
 
-const LAYOUT: ReadonlyArray<{ nodeId: string, region: string, roles: readonly NodeRole[] }> = [
+const NODES: ReadonlyArray<{ nodeId: string, region: string, roles: readonly NodeRole[] }> = [
   { nodeId: 'montevideo-1', region: 'montevideo', roles: ['entry', 'control'] },
   { nodeId: 'salto-1', region: 'salto', roles: ['entry', 'control'] },
   { nodeId: 'maldonado-1', region: 'maldonado', roles: ['entry', 'control'] },
@@ -28,40 +28,40 @@
   { nodeId: 'salto-2', region: 'salto', roles: ['entry'] }
 ]
 
-/** What a test changes in the settings of a local system. */
-export interface SettingsVariation {
+/** Settings that differ from the defaults of a local cluster. */
+export interface SettingsOverrides {
   /** Sections of the settings file, such as `control: { leaseMs: 2000 }`, for every node. */
   readonly sections?: Readonly<Record<string, object>>
-  /** Port at which one node dials another; a relay's port in tests of partitions. */
-  readonly peerPortOf?: (viewer: DemoNode, target: DemoNode) => Promise<number>
+  /** Port at which one node connects to another; the port of a relay in tests of network partitions. */
+  readonly peerPortOf?: (source: LocalNode, target: LocalNode) => Promise<number>
 }
 
 /**
- * Writes one settings file a node into a folder.
+ * Writes one settings file for each node into a folder.
  *
  * @example
- * const nodes = await writeDemoSettings(await mkdtemp(join(tmpdir(), 'comfreygrade-demo-')))
+ * const nodes = await writeNodeSettings(await mkdtemp(join(tmpdir(), 'comfreygrade-demo-')))
  */
-export async function writeDemoSettings (folder: string, variation: SettingsVariation = {}): Promise<DemoNode[]> {
-  const ports = await findFreePorts(LAYOUT.length * 2)
-  const nodes = LAYOUT.map((node, index) => toDemoNode(folder, node, ports[index * 2] ?? 0, ports[index * 2 + 1] ?? 0))
-  for (const node of nodes) await writeSettings(folder, node, nodes, variation)
+export async function writeNodeSettings (folder: string, overrides: SettingsOverrides = {}): Promise<LocalNode[]> {
+  const ports = await findFreePorts(NODES.length * 2)
+  const nodes = NODES.map((node, index) => toLocalNode(folder, node, ports[index * 2] ?? 0, ports[index * 2 + 1] ?? 0))
+  for (const node of nodes) await writeSettingsFile(folder, node, nodes, overrides)
   return nodes
 }
 
-function toDemoNode (folder: string, node: typeof LAYOUT[number], httpPort: number, peerPort: number): DemoNode {
+function toLocalNode (folder: string, node: typeof NODES[number], httpPort: number, peerPort: number): LocalNode {
   const settingsFile = join(folder, `${node.nodeId}.yaml`)
   return { ...node, httpPort, peerPort, settingsFile, address: `http://${LOOPBACK_HOST}:${httpPort}` }
 }
 
-async function writeSettings (
-  folder: string, node: DemoNode, nodes: readonly DemoNode[], variation: SettingsVariation
+async function writeSettingsFile (
+  folder: string, node: LocalNode, nodes: readonly LocalNode[], overrides: SettingsOverrides
 ): Promise<void> {
   const dataFolder = join(folder, node.nodeId)
   await mkdir(dataFolder)
   const peers = await Promise.all(nodes.map(async peer => {
-    const port = peer === node ? peer.peerPort : await variation.peerPortOf?.(node, peer) ?? peer.peerPort
-    return toPeer(peer, port)
+    const port = peer === node ? peer.peerPort : await overrides.peerPortOf?.(node, peer) ?? peer.peerPort
+    return createPeerEntry(peer, port)
   }))
   const settings = {
     node: {
@@ -69,11 +69,11 @@
     },
     http: { host: LOOPBACK_HOST, port: node.httpPort },
     peers: { host: LOOPBACK_HOST, port: node.peerPort, nodes: peers },
-    ...variation.sections
+    ...overrides.sections
   }
   await writeFile(node.settingsFile, stringify(settings))
 }
 
-function toPeer ({ nodeId, address, region, roles }: DemoNode, port: number) {
+function createPeerEntry ({ nodeId, address, region, roles }: LocalNode, port: number) {
   return { nodeId, host: LOOPBACK_HOST, port, httpAddress: address, region, roles }
 }
--- a/packages/standins/src/orders.ts
+++ b/packages/standins/src/orders.ts
@@ -1,9 +1,8 @@
-/** Orders to workers as they travel (section 4.1 of the design page); a user's worker knows no more than this. */
+/** Messages between the control leader and workers (design page, section 4.1); workers need no other interface. */
 
-/** What a worker is told to do with one task. */
+/** The action that a worker has to take on one task. */
 export type OrderKind = 'prepare' | 'start' | 'checkpoint' | 'throttle' | 'stop'
 
-/** One order for one task. */
 export interface WorkerOrder {
   readonly kind: OrderKind
   readonly jobId: string
@@ -11,13 +10,13 @@
   readonly leaseId: number
   readonly firstAccelerator: number
   readonly acceleratorCount: number
-  /** Start of the worker that the order is meant for; a later one refuses it. */
+  /** Incarnation of the worker that the order is meant for; a restarted worker refuses it. */
   readonly incarnation: number
-  /** Length of the worker's lease; only the answer to a heartbeat renews it. */
+  /** Duration of the worker's lease; only the response to a heartbeat renews it. */
   readonly leaseMs: number
 }
 
-/** A worker's answer to one order. */
+/** A worker's result for one order. */
 export type OrderResult = 'accepted' | 'refused' | 'stale_term' | 'unknown_lease'
 
 /** Body of `POST {worker}/v1/orders`. */
@@ -26,21 +25,21 @@
   readonly orders: readonly WorkerOrder[]
 }
 
-/** Answer to an order batch; `term` is the highest that the worker has seen. */
-export interface OrderBatchAnswer {
+/** Response to an order batch; `term` is the highest that the worker has seen. */
+export interface OrderBatchResponse {
   readonly term: number
   readonly results: readonly OrderResult[]
 }
 
-/** Names one task under one lease. */
+/** Identifies one task under one lease. */
 export interface TaskLease {
   readonly jobId: string
   readonly taskIndex: number
   readonly leaseId: number
 }
 
-/** Answer to a worker's heartbeat; the lease counts from when the worker sent the report. */
-export interface WorkerLeaseAnswer {
+/** Response to a worker's heartbeat; the lease starts when the worker sent the heartbeat. */
+export interface WorkerLeaseResponse {
   readonly term: number
   readonly leaseMs: number
   readonly stopTasks: readonly TaskLease[]
--- a/packages/standins/src/relay.ts
+++ b/packages/standins/src/relay.ts
@@ -1,17 +1,17 @@
-/** A TCP relay on loopback that delays, cuts, resets or silences connections, for tests of networks that fail. */
+/** A TCP relay on loopback that blocks, silences or resets connections, to test network failures. */
 import { type AddressInfo, connect, createServer, type Server, type Socket } from 'node:net'
 import { LOOPBACK_HOST } from './loopback-server.js'
 
-/** Which bytes are held back. */
+/** The direction in which a relay holds data back. */
 export type BlockedDirection = 'to_target' | 'to_client' | 'both'
 
-/** Where a relay listens and forwards to. */
+/** The hosts that a relay listens on and forwards to. */
 export interface RelayHosts {
   readonly host: string
   readonly targetHost: string
 }
 
-/** Forwards TCP connections to a target port until told to hold bytes back. */
+/** Forwards TCP connections to a target port, with faults on demand. */
 export class Relay {
   readonly #server: Server
   readonly #hosts: RelayHosts
@@ -37,7 +37,6 @@
     return this.#port
   }
 
-  /** Connections that are open at present. */
   get openConnections (): number {
     return this.#connections.size
   }
@@ -52,24 +51,23 @@
     return this.#port
   }
 
-  /** Holds bytes and closures back, on open connections and new ones. No end notices anything but silence. */
+  /** Holds back data and closes, on open and new connections, so that both ends see only silence. */
   block (direction: BlockedDirection): void {
     this.#blocked = direction
     for (const connection of this.#connections) connection.block(direction)
   }
 
-  /** Forwards again; bytes that were held back are delivered, as TCP does after a partition. */
+  /** Ends a block; data that was held back is delivered, as TCP does after a network partition. */
   restore (): void {
     this.#blocked = undefined
     for (const connection of this.#connections) connection.restore()
   }
 
-  /** Makes the open connections silent for good, while new ones work. */
+  /** Blocks the open connections permanently; new ones are forwarded normally. */
   silenceOpenConnections (): void {
     for (const connection of this.#connections) connection.silence()
   }
 
-  /** Resets the open connections. */
   resetOpenConnections (): void {
     for (const connection of this.#connections) connection.reset()
   }
@@ -91,18 +89,18 @@
 
 /** One client connection and its connection to the target. */
 class RelayedConnection {
-  readonly #toTarget: OneWay
-  readonly #toClient: OneWay
+  readonly #toTarget: OneWayForwarder
+  readonly #toClient: OneWayForwarder
   #isSilenced = false
   #openSockets = 2
 
-  constructor (client: Socket, target: Socket, closed: () => void) {
-    this.#toTarget = new OneWay(client, target)
-    this.#toClient = new OneWay(target, client)
-    // While blocked, one end may close long before the other; the connection is kept until both have.
-    const count = () => { if (--this.#openSockets === 0) closed() }
-    client.on('close', count)
-    target.on('close', count)
+  constructor (client: Socket, target: Socket, onClosed: () => void) {
+    this.#toTarget = new OneWayForwarder(client, target)
+    this.#toClient = new OneWayForwarder(target, client)
+    // While blocked, one end can close long before the other; the connection is tracked until both have closed.
+    const countClosedSocket = () => { if (--this.#openSockets === 0) onClosed() }
+    client.on('close', countClosedSocket)
+    target.on('close', countClosedSocket)
   }
 
   block (direction: BlockedDirection): void {
@@ -132,30 +130,30 @@
   }
 }
 
-/** Copies bytes, the end and the loss of one socket to another, with backpressure. */
-class OneWay {
+/** Forwards the data, end and close of one socket to another, with backpressure. */
+class OneWayForwarder {
   readonly #from: Socket
   readonly #to: Socket
   #isBlocked = false
   #isEnded = false
-  #isLost = false
+  #isClosed = false
 
   constructor (from: Socket, to: Socket) {
     this.#from = from
     this.#to = to
     from.on('data', chunk => { if (!to.write(chunk)) from.pause() })
-    from.on('end', () => { this.#isEnded = true; this.#forwardClosure() })
-    from.on('close', () => { this.#isLost = true; this.#forwardClosure() })
+    from.on('end', () => { this.#isEnded = true; this.#forwardClose() })
+    from.on('close', () => { this.#isClosed = true; this.#forwardClose() })
     from.on('error', () => from.destroy())
     to.on('drain', () => { if (!this.#isBlocked) from.resume() })
   }
 
-  /** Reading stops while blocked, so the bytes stay with the sender as in a network that loses packets. */
+  /** Reading stops while blocked, so unread data stays with the sender, as in a network that loses packets. */
   setBlocked (isBlocked: boolean): void {
     this.#isBlocked = isBlocked
     if (isBlocked) this.#from.pause()
     else this.#from.resume()
-    this.#forwardClosure()
+    this.#forwardClose()
   }
 
   destroy (): void {
@@ -166,10 +164,10 @@
     this.#from.resetAndDestroy()
   }
 
-  /** A paused socket still reports its end and its loss, so they are held back here. */
-  #forwardClosure (): void {
+  /** A paused socket still emits `end` and `close`, so they are held back here while blocked. */
+  #forwardClose (): void {
     if (this.#isBlocked) return
     if (this.#isEnded) this.#to.end()
-    if (this.#isLost) this.#to.destroySoon()
+    if (this.#isClosed) this.#to.destroySoon()
   }
 }
--- a/packages/standins/src/run-times.ts
+++ b/packages/standins/src/run-times.ts
@@ -1,13 +1,11 @@
-/** How long tasks run on a stand-in worker. */
-
-/** Decides the run time of each task. */
+/** Determines how long tasks run on a stand-in worker. */
 export abstract class RunTimes {
-  /** Run time of the tasks of a job in milliseconds. */
+  /** Returns the run time of each task of a job in milliseconds. */
   abstract runMs (jobId: string): number
 }
 
 /**
- * The same run time for every task.
+ * Uses the same run time for every task.
  *
  * @example
  * new FixedRunTime(200).runMs('any') // 200
@@ -26,7 +24,7 @@
 }
 
 /**
- * A run time by job class. Orders carry no job class, so it is read from the job ID: the part before the last `-`.
+ * Selects the run time by job class. Orders carry no job class, so the part of the job ID before the last `-` is used.
  *
  * @example
  * new RunTimeByClass({ nightly: 500 }, 100).runMs('nightly-7') // 500
--- a/packages/standins/src/slots.ts
+++ b/packages/standins/src/slots.ts
@@ -1,32 +1,32 @@
 /**
- * Bounds how many executions run at once; the others wait in order of arrival.
+ * Limits how many executions run concurrently; the others wait in order of arrival.
  *
  * @example
- * const slots = new Slots(8)
- * await slots.take()
+ * const slots = new SlotSemaphore(8)
+ * await slots.acquire()
  * slots.release()
  */
-export class Slots {
-  #free: number
-  readonly #waiting: Array<() => void> = []
+export class SlotSemaphore {
+  #available: number
+  readonly #waiters: Array<() => void> = []
 
   constructor (count: number) {
-    this.#free = count
+    this.#available = count
   }
 
-  /** Resolves once a slot is held. */
-  async take (): Promise<void> {
-    if (this.#free > 0) {
-      this.#free--
+  /** Resolves once a slot is acquired. */
+  async acquire (): Promise<void> {
+    if (this.#available > 0) {
+      this.#available--
       return
     }
-    await new Promise<void>(resolve => this.#waiting.push(resolve))
+    await new Promise<void>(resolve => this.#waiters.push(resolve))
   }
 
-  /** Gives a held slot to the first that waits. */
+  /** Passes the slot to the longest waiter, if there is one. */
   release (): void {
-    const next = this.#waiting.shift()
-    if (next === undefined) this.#free++
+    const next = this.#waiters.shift()
+    if (next === undefined) this.#available++
     else next()
   }
 }
--- a/packages/standins/src/system-clock.ts
+++ b/packages/standins/src/system-clock.ts
@@ -2,7 +2,7 @@
 import type { Clock } from '@comfreygrade/core'
 
 /**
- * The clock of this process. All stand-ins of one process share its monotonic origin, so their records compare.
+ * The clock of this process. All stand-ins in a process share its monotonic origin, so their times are comparable.
  *
  * @example
  * const sentAtMs = new SystemClock().monotonicMs()
--- a/packages/standins/src/task-table.ts
+++ b/packages/standins/src/task-table.ts
@@ -1,10 +1,10 @@
-/** Tasks of one worker under leases: the worker's side of section 3.5 of the design page. No I/O, time is passed in. */
+/** The tasks of one worker under its lease (design page, section 3.5). Does no I/O and reads no clock. */
 import type { TaskReport, TaskState } from '@comfreygrade/core'
-import type { OrderBatch, OrderBatchAnswer, OrderResult, TaskLease, WorkerLeaseAnswer, WorkerOrder } from './orders.js'
+import type { OrderBatch, OrderBatchResponse, OrderResult, TaskLease, WorkerLeaseResponse, WorkerOrder } from './orders.js'
 import type { RunTimes } from './run-times.js'
 import type { WorkerBehaviour } from './worker-behaviour.js'
 
-/** What happened to one task on this worker. Times are monotonic milliseconds. */
+/** History of one task on this worker. Times are in milliseconds on the monotonic clock. */
 export interface TaskRun extends TaskLease {
   readonly firstAccelerator: number
   readonly acceleratorCount: number
@@ -12,33 +12,33 @@
   readonly preparedMs: number
   readonly startedMs: number | undefined
   readonly endedMs: number | undefined
-  /** Whether the task was stopped because its lease could not be renewed. */
-  readonly isLeaseLost: boolean
+  /** Whether the task was stopped because the lease expired without renewal. */
+  readonly isLeaseExpired: boolean
   readonly isThrottled: boolean
 }
 
-type HeldTask = { -readonly [Key in keyof TaskRun]: TaskRun[Key] } & {
+type TaskEntry = { -readonly [Key in keyof TaskRun]: TaskRun[Key] } & {
   plannedEnd: { state: 'completed' | 'failed', atMs: number } | undefined
 }
 
-/** Ended tasks kept in the report; the oldest are dropped first, so that a leader that never asks costs no memory. */
-const MAX_ENDED_TASKS = 1_000
+/** Bounds memory where no leader acknowledges ended tasks; the oldest are evicted first. */
+const MAX_REPORTED_ENDED_TASKS = 1_000
 
-/** How a throttled task's remaining run time grows. */
-const THROTTLE_FACTOR = 2
+/** Factor by which the remaining run time of a throttled task grows. */
+const THROTTLED_RUN_TIME_FACTOR = 2
 
-/** Decides on orders, renewals and the passing of time. */
+/** Applies orders and lease renewals to the tasks, and ends tasks as time passes. */
 export class TaskTable {
   readonly #accelerators: number
   readonly #runTimes: RunTimes
-  readonly #tasks = new Map<string, HeldTask>()
-  readonly #history: HeldTask[] = []
-  readonly #highestEndedLease = new Map<string, number>()
+  readonly #tasks = new Map<string, TaskEntry>()
+  readonly #runs: TaskEntry[] = []
+  readonly #highestEndedLeaseIds = new Map<string, number>()
   readonly #incarnation: number
   #behaviour: WorkerBehaviour
   #highestTerm = 0
-  /** One lease covers all tasks of the worker; only answers to heartbeats renew it. */
-  #leaseEndsMs = -Infinity
+  /** One lease covers all tasks of the worker; only responses to heartbeats renew it. */
+  #leaseExpiresMs = -Infinity
 
   constructor (accelerators: number, runTimes: RunTimes, behaviour: WorkerBehaviour, incarnation: number) {
     this.#incarnation = incarnation
@@ -47,98 +47,98 @@
     this.#behaviour = behaviour
   }
 
-  /** Every task that this worker ever held, in order of preparation. */
+  /** Every task that this worker ever accepted, in order of preparation. */
   get runs (): readonly TaskRun[] {
-    return this.#history
+    return this.#runs
   }
 
-  /** Highest term seen in orders and heartbeat answers. */
+  /** Highest term seen in orders and heartbeat responses. */
   get highestTerm (): number {
     return this.#highestTerm
   }
 
-  /** Replaces the behaviour for orders from now on. */
-  behave (behaviour: WorkerBehaviour): void {
+  /** Sets the behaviour for orders from now on. */
+  setBehaviour (behaviour: WorkerBehaviour): void {
     this.#behaviour = behaviour
   }
 
-  /** Carries out the orders of a batch; a term below the highest seen changes nothing. */
-  handle (batch: OrderBatch, nowMs: number): OrderBatchAnswer {
-    this.advance(nowMs)
+  /** Executes the orders of a batch; a batch with a term below the highest seen changes nothing. */
+  handleOrders (batch: OrderBatch, nowMs: number): OrderBatchResponse {
+    this.endDueTasks(nowMs)
     const isStale = batch.term < this.#highestTerm
     this.#highestTerm = Math.max(this.#highestTerm, batch.term)
     const results = batch.orders.map(order => isStale ? 'stale_term' : this.#handleOrder(order, nowMs))
     return { term: this.#highestTerm, results }
   }
 
-  /** Tasks for the next report, ended ones included until the leader does not know them any more. */
-  report (): TaskReport[] {
+  /** Reports all tasks; an ended task is included until the leader lists it in `stopTasks`. */
+  createReports (): TaskReport[] {
     return [...this.#tasks.values()].map(toReport)
   }
 
   /**
-   * Takes a heartbeat answer.
+   * Applies the response to a heartbeat; a response with a term below the highest seen changes nothing.
    *
-   * @param sentMs when the report that it answers was sent
+   * @param sentMs when the heartbeat was sent
    */
-  renew (answer: WorkerLeaseAnswer, sentMs: number, nowMs: number): void {
-    this.advance(nowMs)
-    if (answer.term < this.#highestTerm) return
-    this.#highestTerm = answer.term
-    this.#leaseEndsMs = Math.max(this.#leaseEndsMs, sentMs + answer.leaseMs)
-    for (const lease of answer.stopTasks) this.#forget(lease, nowMs)
+  renewLease (response: WorkerLeaseResponse, sentMs: number, nowMs: number): void {
+    this.endDueTasks(nowMs)
+    if (response.term < this.#highestTerm) return
+    this.#highestTerm = response.term
+    this.#leaseExpiresMs = Math.max(this.#leaseExpiresMs, sentMs + response.leaseMs)
+    for (const lease of response.stopTasks) this.#removeTask(lease, nowMs)
   }
 
   /**
-   * Ends tasks whose run time or lease has passed.
+   * Ends tasks whose run time is over or whose lease has expired.
    *
-   * @returns whether any task changed
+   * @returns whether any task ended
    */
-  advance (nowMs: number): boolean {
-    let isChanged = false
-    for (const task of this.#tasks.values()) isChanged = this.#advanceTask(task, nowMs) || isChanged
-    if (isChanged) this.#trimEnded()
-    return isChanged
+  endDueTasks (nowMs: number): boolean {
+    let hasEndedTask = false
+    for (const task of this.#tasks.values()) hasEndedTask = this.#endTaskIfDue(task, nowMs) || hasEndedTask
+    if (hasEndedTask) this.#evictEndedTasks()
+    return hasEndedTask
   }
 
-  /** When `advance` has something to do next; undefined while nothing is held. */
+  /** Time at which `endDueTasks` next has a task to end; undefined while no task is active. */
   nextDueMs (): number | undefined {
-    const dueMs = [...this.#tasks.values()].filter(isHolding).map(task => this.#nextDueMsOf(task))
+    const dueMs = [...this.#tasks.values()].filter(holdsAccelerators).map(task => this.#taskDueMs(task))
     return dueMs.length === 0 ? undefined : Math.min(...dueMs)
   }
 
-  /** Stops everything that is held, as a worker does that leaves. */
+  /** Stops every active task, as a worker does when it shuts down. */
   stopAll (nowMs: number): void {
-    for (const task of this.#tasks.values()) this.#end(task, 'stopped', nowMs)
+    for (const task of this.#tasks.values()) this.#endTask(task, 'stopped', nowMs)
   }
 
   #handleOrder (order: WorkerOrder, nowMs: number): OrderResult {
     if (order.incarnation !== this.#incarnation) return 'refused'
-    if (order.kind !== 'stop' && nowMs >= this.#leaseEndsMs) return 'refused'
+    if (order.kind !== 'stop' && nowMs >= this.#leaseExpiresMs) return 'refused'
     if (order.kind === 'prepare') return this.#prepare(order, nowMs)
-    const task = this.#find(order)
-    if (task === undefined) return this.#handleUnknown(order)
+    const task = this.#findTask(order)
+    if (task === undefined) return this.#handleUnknownLease(order)
     switch (order.kind) {
       case 'start': return this.#start(task, nowMs)
       case 'throttle': return this.#throttle(task, nowMs)
       case 'checkpoint':
       case 'stop':
-        this.#end(task, 'stopped', nowMs)
+        this.#endTask(task, 'stopped', nowMs)
         return 'accepted'
     }
   }
 
   #prepare (order: WorkerOrder, nowMs: number): OrderResult {
-    const held = this.#find(order)
-    if (held !== undefined) return isHolding(held) ? 'accepted' : 'refused'
-    if (order.leaseId <= (this.#highestEndedLease.get(taskKey(order)) ?? -1)) return 'refused'
-    if (!this.#behaviour.acceptsPrepare(order) || !this.#isCellFree(order)) return 'refused'
-    this.#hold(order, nowMs)
+    const existing = this.#findTask(order)
+    if (existing !== undefined) return holdsAccelerators(existing) ? 'accepted' : 'refused'
+    if (order.leaseId <= (this.#highestEndedLeaseIds.get(taskKey(order)) ?? -1)) return 'refused'
+    if (!this.#behaviour.acceptsPrepare(order) || !this.#areAcceleratorsFree(order)) return 'refused'
+    this.#addTask(order, nowMs)
     return 'accepted'
   }
 
-  #hold (order: WorkerOrder, nowMs: number): void {
-    const task: HeldTask = {
+  #addTask (order: WorkerOrder, nowMs: number): void {
+    const task: TaskEntry = {
       jobId: order.jobId,
       taskIndex: order.taskIndex,
       leaseId: order.leaseId,
@@ -148,97 +148,97 @@
       preparedMs: nowMs,
       startedMs: undefined,
       endedMs: undefined,
-      isLeaseLost: false,
+      isLeaseExpired: false,
       isThrottled: false,
       plannedEnd: undefined
     }
     this.#tasks.set(leaseKey(order), task)
-    this.#history.push(task)
+    this.#runs.push(task)
   }
 
-  #start (task: HeldTask, nowMs: number): OrderResult {
+  #start (task: TaskEntry, nowMs: number): OrderResult {
     if (task.startedMs !== undefined) return 'accepted'
     if (task.state !== 'prepared') return 'refused'
-    const { state, afterMs } = this.#behaviour.plan(this.#runTimes.runMs(task.jobId))
+    const { state, afterMs } = this.#behaviour.planEnd(this.#runTimes.runMs(task.jobId))
     task.state = 'running'
     task.startedMs = nowMs
     task.plannedEnd = { state, atMs: nowMs + afterMs }
     return 'accepted'
   }
 
-  #throttle (task: HeldTask, nowMs: number): OrderResult {
+  #throttle (task: TaskEntry, nowMs: number): OrderResult {
     if (task.state !== 'running' || task.plannedEnd === undefined) return 'refused'
     if (task.isThrottled) return 'accepted'
     const remainingMs = task.plannedEnd.atMs - nowMs
     task.isThrottled = true
-    task.plannedEnd.atMs = nowMs + remainingMs * THROTTLE_FACTOR
+    task.plannedEnd.atMs = nowMs + remainingMs * THROTTLED_RUN_TIME_FACTOR
     return 'accepted'
   }
 
-  /** A stop that overtakes its prepare must win, so the lease is remembered as ended; nothing runs under it. */
-  #handleUnknown (order: WorkerOrder): OrderResult {
+  /** Records the lease of a `stop` that arrives before its `prepare` as ended, so that the `prepare` is refused. */
+  #handleUnknownLease (order: WorkerOrder): OrderResult {
     if (order.kind !== 'stop') return 'unknown_lease'
-    this.#rememberEnded(order)
+    this.#recordEndedLease(order)
     return 'accepted'
   }
 
-  #isCellFree (order: WorkerOrder): boolean {
+  #areAcceleratorsFree (order: WorkerOrder): boolean {
     const endAccelerator = order.firstAccelerator + order.acceleratorCount
     if (order.firstAccelerator < 0 || endAccelerator > this.#accelerators) return false
-    return ![...this.#tasks.values()].some(task => isHolding(task) &&
+    return ![...this.#tasks.values()].some(task => holdsAccelerators(task) &&
       task.firstAccelerator < endAccelerator && order.firstAccelerator < task.firstAccelerator + task.acceleratorCount)
   }
 
-  #find (lease: TaskLease): HeldTask | undefined {
+  #findTask (lease: TaskLease): TaskEntry | undefined {
     return this.#tasks.get(leaseKey(lease))
   }
 
-  #forget (lease: TaskLease, nowMs: number): void {
-    const task = this.#find(lease)
+  #removeTask (lease: TaskLease, nowMs: number): void {
+    const task = this.#findTask(lease)
     if (task === undefined) return
-    this.#end(task, 'stopped', nowMs)
+    this.#endTask(task, 'stopped', nowMs)
     this.#tasks.delete(leaseKey(lease))
   }
 
-  #advanceTask (task: HeldTask, nowMs: number): boolean {
-    if (!isHolding(task) || this.#nextDueMsOf(task) > nowMs) return false
-    const planned = task.plannedEnd
-    if (planned !== undefined && planned.atMs <= Math.min(nowMs, this.#leaseEndsMs)) {
-      this.#end(task, planned.state, nowMs)
+  #endTaskIfDue (task: TaskEntry, nowMs: number): boolean {
+    if (!holdsAccelerators(task) || this.#taskDueMs(task) > nowMs) return false
+    const plannedEnd = task.plannedEnd
+    if (plannedEnd !== undefined && plannedEnd.atMs <= Math.min(nowMs, this.#leaseExpiresMs)) {
+      this.#endTask(task, plannedEnd.state, nowMs)
     } else {
-      task.isLeaseLost = true
-      this.#end(task, 'stopped', nowMs)
+      task.isLeaseExpired = true
+      this.#endTask(task, 'stopped', nowMs)
     }
     return true
   }
 
-  #end (task: HeldTask, state: TaskState, nowMs: number): void {
-    if (!isHolding(task)) return
+  #endTask (task: TaskEntry, state: TaskState, nowMs: number): void {
+    if (!holdsAccelerators(task)) return
     task.state = state
     task.endedMs = nowMs
-    this.#rememberEnded(task)
+    this.#recordEndedLease(task)
   }
 
-  #nextDueMsOf (task: HeldTask): number {
-    return Math.min(this.#leaseEndsMs, task.plannedEnd?.atMs ?? Infinity)
+  #taskDueMs (task: TaskEntry): number {
+    return Math.min(this.#leaseExpiresMs, task.plannedEnd?.atMs ?? Infinity)
   }
 
-  #rememberEnded (lease: TaskLease): void {
+  #recordEndedLease (lease: TaskLease): void {
     const key = taskKey(lease)
-    this.#highestEndedLease.set(key, Math.max(lease.leaseId, this.#highestEndedLease.get(key) ?? -1))
+    this.#highestEndedLeaseIds.set(key, Math.max(lease.leaseId, this.#highestEndedLeaseIds.get(key) ?? -1))
   }
 
-  #trimEnded (): void {
-    const ended = [...this.#tasks.entries()].filter(([, task]) => !isHolding(task))
-    for (const [key] of ended.slice(0, Math.max(0, ended.length - MAX_ENDED_TASKS))) this.#tasks.delete(key)
+  #evictEndedTasks (): void {
+    const ended = [...this.#tasks.entries()].filter(([, task]) => !holdsAccelerators(task))
+    for (const [key] of ended.slice(0, Math.max(0, ended.length - MAX_REPORTED_ENDED_TASKS))) this.#tasks.delete(key)
   }
 }
 
-function toReport ({ jobId, taskIndex, leaseId, state }: HeldTask): TaskReport {
+function toReport ({ jobId, taskIndex, leaseId, state }: TaskEntry): TaskReport {
   return { jobId, taskIndex, leaseId, state }
 }
 
-function isHolding (task: HeldTask): boolean {
+function holdsAccelerators (task: TaskEntry): boolean {
   return task.state === 'prepared' || task.state === 'running'
 }
 
--- a/packages/standins/src/waiting.ts
+++ b/packages/standins/src/waiting.ts
@@ -1,27 +1,29 @@
-/** Repeats an asynchronous question until it is answered. */
+/** Polls for a condition, in demos and tests. */
 import { setTimeout as delay } from 'node:timers/promises'
 
-/** Interval between two questions. */
-const ASK_INTERVAL_MS = 100
+const POLL_INTERVAL_MS = 100
 
 /**
- * Asks until the answer is not undefined; the last error or the limit is reported where none comes within `limitMs`.
+ * Calls `poll` until it returns a value other than undefined. Errors of `poll` are retried too; after `timeoutMs` the
+ * promise rejects, with the error of the last call in its message if that call failed.
  *
  * @example
  * await waitFor('every worker to be active', 20_000, async () => (await allActive()) ? true : undefined)
  */
-export async function waitFor<T> (what: string, limitMs: number, ask: () => Promise<T | undefined>): Promise<T> {
-  const endsMs = performance.now() + limitMs
-  let lastError = ''
-  while (performance.now() < endsMs) {
+export async function waitFor<T> (
+  condition: string, timeoutMs: number, poll: () => Promise<T | undefined>
+): Promise<T> {
+  const deadlineMs = performance.now() + timeoutMs
+  let lastErrorText = ''
+  while (performance.now() < deadlineMs) {
     try {
-      const answer = await ask()
-      if (answer !== undefined) return answer
-      lastError = ''
+      const result = await poll()
+      if (result !== undefined) return result
+      lastErrorText = ''
     } catch (error) {
-      lastError = `: ${String(error)}`
+      lastErrorText = `: ${String(error)}`
     }
-    await delay(ASK_INTERVAL_MS)
+    await delay(POLL_INTERVAL_MS)
   }
-  throw new Error(`waited ${limitMs} ms for ${what}${lastError}`)
+  throw new Error(`timed out after ${timeoutMs} ms waiting for ${condition}${lastErrorText}`)
 }
--- a/packages/standins/src/worker-behaviour.ts
+++ b/packages/standins/src/worker-behaviour.ts
@@ -1,46 +1,45 @@
-/** How a stand-in worker treats orders: well, or one of the faults that tests need. */
+/** Behaviours of a stand-in worker: normal execution, or one of the faults that tests inject. */
 import type { WorkerOrder } from './orders.js'
 
-/** How a task will end by itself. */
+/** How a task ends unless it is stopped before. */
 export interface PlannedEnd {
   readonly state: 'completed' | 'failed'
   readonly afterMs: number
 }
 
-/** Names of the behaviours, for settings. */
+/** Behaviour names, as the command line takes them. */
 export const workerBehaviourNames = ['work', 'refuse', 'fail'] as const
 
-/** Name of a behaviour. */
 export type WorkerBehaviourName = typeof workerBehaviourNames[number]
 
 /** Decides which orders are accepted and how tasks end. */
 export abstract class WorkerBehaviour {
-  /** Whether a cell is held for the order. */
+  /** Whether the worker reserves accelerators for a `prepare` order. */
   abstract acceptsPrepare (order: WorkerOrder): boolean
-  /** How a task that starts now and needs `runMs` will end. */
-  abstract plan (runMs: number): PlannedEnd
+  /** Plans the end of a task that starts now and runs for `runMs`. */
+  abstract planEnd (runMs: number): PlannedEnd
 }
 
-/** Accepts and completes. */
-export class WorkNormally extends WorkerBehaviour {
+/** Accepts every order and completes every task. */
+export class CompleteTasksBehaviour extends WorkerBehaviour {
   override acceptsPrepare (): boolean {
     return true
   }
 
-  override plan (runMs: number): PlannedEnd {
+  override planEnd (runMs: number): PlannedEnd {
     return { state: 'completed', afterMs: runMs }
   }
 }
 
-/** Refuses every new cell; what is held goes on. */
-export class RefusePrepare extends WorkNormally {
+/** Refuses every `prepare` order; tasks that were prepared before continue. */
+export class RefusePrepareBehaviour extends CompleteTasksBehaviour {
   override acceptsPrepare (): boolean {
     return false
   }
 }
 
-/** Accepts everything; each task fails `failAfterMs` after its start. */
-export class FailEverything extends WorkerBehaviour {
+/** Accepts every order; each task fails `failAfterMs` after its start. */
+export class FailTasksBehaviour extends WorkerBehaviour {
   readonly #failAfterMs: number
 
   constructor (failAfterMs = 0) {
@@ -52,21 +51,21 @@
     return true
   }
 
-  override plan (): PlannedEnd {
+  override planEnd (): PlannedEnd {
     return { state: 'failed', afterMs: this.#failAfterMs }
   }
 }
 
 /**
- * Gives the behaviour of a name.
+ * Creates the behaviour with the given name.
  *
  * @example
- * workerBehaviour('refuse')
+ * createWorkerBehaviour('refuse')
  */
-export function workerBehaviour (name: WorkerBehaviourName): WorkerBehaviour {
+export function createWorkerBehaviour (name: WorkerBehaviourName): WorkerBehaviour {
   switch (name) {
-    case 'work': return new WorkNormally()
-    case 'refuse': return new RefusePrepare()
-    case 'fail': return new FailEverything()
+    case 'work': return new CompleteTasksBehaviour()
+    case 'refuse': return new RefusePrepareBehaviour()
+    case 'fail': return new FailTasksBehaviour()
   }
 }
--- a/packages/standins/src/worker.ts
+++ b/packages/standins/src/worker.ts
@@ -1,26 +1,25 @@
-/** A stand-in for a worker VM: announces itself, takes orders and runs tasks (as timers) under leases. */
+/** A stand-in for a worker VM: registers itself, accepts orders and simulates tasks with timers. */
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import type { Clock } from '@comfreygrade/core'
 import { EntryClient } from './entry-client.js'
 import { Heartbeat } from './heartbeat.js'
 import { LoopbackServer, readBody, sendJson } from './loopback-server.js'
-import type { OrderBatch, WorkerLeaseAnswer } from './orders.js'
+import type { OrderBatch, WorkerLeaseResponse } from './orders.js'
 import { FixedRunTime, type RunTimes } from './run-times.js'
 import { SystemClock } from './system-clock.js'
 import { type TaskRun, TaskTable } from './task-table.js'
-import { type WorkerBehaviour, WorkNormally } from './worker-behaviour.js'
+import { type WorkerBehaviour, CompleteTasksBehaviour } from './worker-behaviour.js'
 
-/** Settings of a stand-in worker. */
 export interface WorkerSettings {
   readonly workerId: string
   /** Base URLs of entry nodes. */
   readonly entries: readonly string[]
   readonly accelerators: number
   readonly runTimes: RunTimes
-  /** 0 takes a free port. */
+  /** 0 selects a free port. */
   readonly port: number
   readonly heartbeatTimeoutMs: number
-  /** Longest interval between heartbeats; a third of the lease where that is shorter. */
+  /** Upper bound of the heartbeat interval, which is otherwise a third of the lease. */
   readonly maxHeartbeatIntervalMs: number
 }
 
@@ -34,20 +33,20 @@
   maxHeartbeatIntervalMs: 1_000
 }
 
-/** Three heartbeats fit into a lease, so that one lost heartbeat stops no task. */
+/** With three heartbeats in each lease, the loss of one stops no task. */
 const HEARTBEATS_PER_LEASE = 3
 
-/** Runs tasks as timers under leases of the control leader. */
+/** Runs tasks under a lease that the control leader grants and renews. */
 export class StandInWorker {
   readonly #settings: WorkerSettings
   readonly #clock: Clock
   readonly #incarnation: number
-  readonly #table: TaskTable
-  readonly #server = new LoopbackServer(async (request, response) => { await this.#handle(request, response) })
-  readonly #entries: EntryClient
-  readonly #heartbeat = new Heartbeat(async () => { await this.#announce() }, () => this.#heartbeatIntervalMs)
+  readonly #taskTable: TaskTable
+  readonly #server = new LoopbackServer(async (request, response) => { await this.#handleRequest(request, response) })
+  readonly #entryClient: EntryClient
+  readonly #heartbeat = new Heartbeat(async () => { await this.#sendHeartbeat() }, () => this.#heartbeatIntervalMs)
   #heartbeatIntervalMs: number
-  #timer: NodeJS.Timeout | undefined
+  #dueTimer: NodeJS.Timeout | undefined
   #sequence = 0
   #acceptedHeartbeats = 0
   #isFrozen = false
@@ -55,7 +54,7 @@
 
   /**
    * @example
-   * const worker = new StandInWorker({ workerId: 'w1', entries: ['http://127.0.0.1:8080'] })
+   * const worker = new StandInWorker({ workerId: 'w1', accelerators: 8 })
    * await worker.start()
    * worker.runs // []
    * await worker.stop()
@@ -66,8 +65,8 @@
     this.#heartbeatIntervalMs = this.#settings.maxHeartbeatIntervalMs
     this.#incarnation = clock.wallMs()
     const { accelerators, runTimes } = this.#settings
-    this.#table = new TaskTable(accelerators, runTimes, new WorkNormally(), this.#incarnation)
-    this.#entries = new EntryClient(this.#settings.entries, this.#settings.heartbeatTimeoutMs)
+    this.#taskTable = new TaskTable(accelerators, runTimes, new CompleteTasksBehaviour(), this.#incarnation)
+    this.#entryClient = new EntryClient(this.#settings.entries, this.#settings.heartbeatTimeoutMs)
   }
 
   /** Base URL that orders are sent to. */
@@ -75,81 +74,81 @@
     return this.#server.address
   }
 
-  /** Every task that this worker ever held, in order of preparation. */
+  /** Every task that this worker ever accepted, in order of preparation. */
   get runs (): readonly TaskRun[] {
-    return this.#table.runs
+    return this.#taskTable.runs
   }
 
-  /** Heartbeats that were answered with a lease. */
+  /** Number of heartbeats that an entry node accepted. */
   get acceptedHeartbeats (): number {
     return this.#acceptedHeartbeats
   }
 
-  /** Replaces the behaviour for orders from now on. */
-  behave (behaviour: WorkerBehaviour): void {
-    this.#table.behave(behaviour)
+  /** Sets the behaviour for orders from now on. */
+  setBehaviour (behaviour: WorkerBehaviour): void {
+    this.#taskTable.setBehaviour(behaviour)
   }
 
-  /** Opens the port and announces the worker. */
+  /** Opens the port and starts the heartbeats, which register the worker. */
   async start (): Promise<void> {
     await this.#server.listen(this.#settings.port)
     if (this.#settings.entries.length > 0) this.#heartbeat.start()
   }
 
-  /** Leaves: stops all tasks, tells an entry node and closes the port. */
+  /** Shuts down gracefully: stops all tasks, deregisters at an entry node and closes the port. */
   async stop (): Promise<void> {
     this.#isStopped = true
     await this.#heartbeat.stop()
-    this.#table.stopAll(this.#clock.monotonicMs())
-    clearTimeout(this.#timer)
+    this.#taskTable.stopAll(this.#clock.monotonicMs())
+    clearTimeout(this.#dueTimer)
     if (this.#settings.entries.length > 0) {
-      await this.#entries.send('DELETE', `/v1/workers/${this.#settings.workerId}`)
+      await this.#entryClient.send('DELETE', `/v1/workers/${this.#settings.workerId}`)
     }
     await this.#server.destroy()
-    await this.#entries.close()
+    await this.#entryClient.close()
   }
 
-  /** Ends at once, as a VM does that loses power: nothing is told to anybody. */
+  /** Stops all tasks and closes all connections without deregistering, like a VM that loses power. */
   async kill (): Promise<void> {
     this.#isStopped = true
-    const stopped = this.#heartbeat.stop()
-    this.#table.stopAll(this.#clock.monotonicMs())
-    clearTimeout(this.#timer)
-    await this.#entries.close()
+    const heartbeatStopped = this.#heartbeat.stop()
+    this.#taskTable.stopAll(this.#clock.monotonicMs())
+    clearTimeout(this.#dueTimer)
+    await this.#entryClient.close()
     await this.#server.destroy()
-    await stopped
+    await heartbeatStopped
   }
 
-  /** Stops everything that the VM does without closing a connection; orders get no answer. */
+  /** Simulates a frozen VM: heartbeats and timers stop, and orders get no response, but connections stay open. */
   freeze (): void {
     this.#isFrozen = true
-    clearTimeout(this.#timer)
+    clearTimeout(this.#dueTimer)
   }
 
-  /** Goes on after a freeze; tasks whose lease has passed are stopped before anything else happens. */
-  thaw (): void {
+  /** Ends a freeze; tasks whose lease has expired are stopped before anything else happens. */
+  resume (): void {
     this.#isFrozen = false
-    this.#advance()
-    this.#heartbeat.beatNow()
+    this.#endDueTasks()
+    this.#heartbeat.sendNow()
   }
 
-  async #announce (): Promise<void> {
+  async #sendHeartbeat (): Promise<void> {
     if (this.#isFrozen) return
     const { workerId } = this.#settings
-    const tasks = this.#table.report()
+    const tasks = this.#taskTable.createReports()
     const sentMs = this.#clock.monotonicMs()
     this.#sequence++
     const report = { incarnation: this.#incarnation, sequence: this.#sequence, address: this.address, tasks }
-    const answer = await this.#entries.send('PUT', `/v1/workers/${workerId}`, report)
-    if (this.#isFrozen || answer.kind !== 'answered' || answer.status >= 300) return
+    const response = await this.#entryClient.send('PUT', `/v1/workers/${workerId}`, report)
+    if (this.#isFrozen || response.kind !== 'answered' || response.status >= 300) return
     this.#acceptedHeartbeats++
-    const lease = answer.body as WorkerLeaseAnswer
-    this.#table.renew(lease, sentMs, this.#clock.monotonicMs())
+    const lease = response.body as WorkerLeaseResponse
+    this.#taskTable.renewLease(lease, sentMs, this.#clock.monotonicMs())
     this.#heartbeatIntervalMs = Math.min(this.#settings.maxHeartbeatIntervalMs, lease.leaseMs / HEARTBEATS_PER_LEASE)
-    this.#schedule()
+    this.#scheduleDueTimer()
   }
 
-  async #handle (request: IncomingMessage, response: ServerResponse): Promise<void> {
+  async #handleRequest (request: IncomingMessage, response: ServerResponse): Promise<void> {
     const body = await readBody(request)
     if (this.#isFrozen) return
     if (request.method !== 'POST' || request.url !== '/v1/orders') {
@@ -157,22 +156,22 @@
       return
     }
     const batch = JSON.parse(body.toString('utf8')) as OrderBatch
-    sendJson(response, 200, this.#table.handle(batch, this.#clock.monotonicMs()))
-    this.#schedule()
+    sendJson(response, 200, this.#taskTable.handleOrders(batch, this.#clock.monotonicMs()))
+    this.#scheduleDueTimer()
   }
 
-  /** Ends what is due and reports it at once, so that the leader does not wait for the interval. */
-  #advance (): void {
-    if (this.#table.advance(this.#clock.monotonicMs())) this.#heartbeat.beatNow()
-    this.#schedule()
+  /** Ends the tasks that are due and reports them at once, so that the leader need not wait for the next heartbeat. */
+  #endDueTasks (): void {
+    if (this.#taskTable.endDueTasks(this.#clock.monotonicMs())) this.#heartbeat.sendNow()
+    this.#scheduleDueTimer()
   }
 
-  #schedule (): void {
-    clearTimeout(this.#timer)
-    const dueMs = this.#table.nextDueMs()
+  #scheduleDueTimer (): void {
+    clearTimeout(this.#dueTimer)
+    const dueMs = this.#taskTable.nextDueMs()
     if (dueMs === undefined || this.#isFrozen || this.#isStopped) return
-    // Timers may fire up to a millisecond early; rounding up avoids a second wake-up.
+    // A timer can fire up to 1 ms early; rounding up avoids a second wake-up.
     const delayMs = Math.max(0, Math.ceil(dueMs - this.#clock.monotonicMs()))
-    this.#timer = setTimeout(() => this.#advance(), delayMs)
+    this.#dueTimer = setTimeout(() => this.#endDueTasks(), delayMs)
   }
 }
--- a/packages/standins/test/fake-entry.ts
+++ b/packages/standins/test/fake-entry.ts
@@ -1,15 +1,15 @@
-/** A fake entry node that records announcements and answers as the design page says. */
+/** A fake entry node that records requests and accepts every heartbeat. */
 import { LoopbackServer, readBody, sendJson } from '../src/index.js'
 
-export interface Announcement { method: string, path: string, body: Record<string, unknown> }
+export interface ReceivedRequest { method: string, path: string, body: Record<string, unknown> }
 
-export class FakeEntry {
-  readonly announcements: Announcement[] = []
+export class FakeEntryNode {
+  readonly requests: ReceivedRequest[] = []
   leaseMs = 300
   readonly #server = new LoopbackServer(async (request, response) => {
     const text = (await readBody(request)).toString('utf8')
     const path = request.url ?? ''
-    this.announcements.push({ method: request.method ?? '', path, body: text === '' ? {} : JSON.parse(text) })
+    this.requests.push({ method: request.method ?? '', path, body: text === '' ? {} : JSON.parse(text) })
     if (path.startsWith('/v1/workers')) sendJson(response, 200, { term: 1, leaseMs: this.leaseMs, stopTasks: [] })
     else sendJson(response, 200, { heartbeatIntervalMs: 20, expireAfterMs: 100 })
   })
@@ -27,11 +27,11 @@
   }
 
   count (method: string): number {
-    return this.announcements.filter(announcement => announcement.method === method).length
+    return this.requests.filter(request => request.method === method).length
   }
 }
 
-/** Waits until a condition holds; the test's own limit ends a wait that never does. */
-export async function until (condition: () => boolean): Promise<void> {
+/** Polls until a condition holds; the timeout of the test ends a wait that would never end. */
+export async function waitUntil (condition: () => boolean): Promise<void> {
   while (!condition()) await new Promise(resolve => setTimeout(resolve, 5))
 }
--- a/packages/standins/test/node-process.test.ts
+++ b/packages/standins/test/node-process.test.ts
@@ -4,7 +4,7 @@
 import test, { type ExecutionContext } from 'ava'
 import { parse } from 'yaml'
 import { NodeProcess } from '../src/index.js'
-import { writeDemoSettings } from '../src/node-settings.js'
+import { writeNodeSettings } from '../src/node-settings.js'
 
 const NODE_SCRIPT = join(import.meta.dirname, '../../node/dist/main.js')
 
@@ -14,14 +14,14 @@
   return folder
 }
 
-async function start (t: ExecutionContext, script: string): Promise<NodeProcess> {
+async function startScript (t: ExecutionContext, script: string): Promise<NodeProcess> {
   const file = join(await temporaryFolder(t), 'script.mjs')
   await writeFile(file, script)
   return new NodeProcess('n1', file, [])
 }
 
-test('a process is ready at its ready line and ends by its own ID, so that no other process is touched', async t => {
-  const process = await start(t, `
+test('a process becomes ready with its ready line and is stopped by its own ID, so that no other process is affected', async t => {
+  const process = await startScript(t, `
     const timer = setInterval(() => {}, 1000)
     globalThis.process.on('SIGTERM', () => clearInterval(timer))
     console.log('{"event":"ready"}')
@@ -30,14 +30,14 @@
   t.deepEqual(await process.stop(10_000), { code: 0, signal: null })
 })
 
-test('a process that ends before it is ready fails with its log lines kept, so that the cause can be shown', async t => {
-  const process = await start(t, 'console.error("{\\"message\\":\\"port in use\\"}"); globalThis.process.exitCode = 1')
+test('the wait for a process that exits early rejects, and its log lines are kept to show the cause', async t => {
+  const process = await startScript(t, 'console.error("{\\"message\\":\\"port in use\\"}"); globalThis.process.exitCode = 1')
   await t.throwsAsync(process.ready(10_000), { message: /ended with code 1/ })
   t.deepEqual(process.logLines, ['{"message":"port in use"}'])
 })
 
-test('a process that does not end is killed after the limit and reported, so that nothing is left running', async t => {
-  const process = await start(t, `
+test('a process that ignores SIGTERM is killed after the timeout and reported, so that none is left running', async t => {
+  const process = await startScript(t, `
     globalThis.process.on('SIGTERM', () => {}); setInterval(() => {}, 1000); console.log('{"event":"ready"}')
   `)
   await process.ready(10_000)
@@ -45,8 +45,8 @@
   t.deepEqual(await process.kill(), { code: null, signal: 'SIGKILL' })
 })
 
-test('every node of the demo is told of all nodes with its own ports, so that the control nodes find each other', async t => {
-  const nodes = await writeDemoSettings(await temporaryFolder(t))
+test('every settings file lists all nodes with their own ports, so that the control nodes find each other', async t => {
+  const nodes = await writeNodeSettings(await temporaryFolder(t))
   const settings = await Promise.all(nodes.map(async node => parse(await readFile(node.settingsFile, 'utf8'))))
   t.is(new Set(nodes.flatMap(node => [node.httpPort, node.peerPort])).size, 10)
   t.is(settings.filter(({ node }) => node.roles.includes('control')).length, 3)
@@ -57,7 +57,7 @@
   }
 })
 
-test('a node with wrong settings or a misspelt flag ends with code 2, so that no node starts by mistake', async t => {
+test('a node with invalid settings or a misspelt flag exits with code 2, so that no node starts by mistake', async t => {
   const file = join(await temporaryFolder(t), 'node.yaml')
   await writeFile(file, 'node: { nodeId: n 1 }\nhttp: { host: localhost, port: 0, colour: red }\n')
   const wrongFile = new NodeProcess('n1', NODE_SCRIPT, ['--settings', file, '--check'])
--- a/packages/standins/test/relay.test.ts
+++ b/packages/standins/test/relay.test.ts
@@ -2,29 +2,29 @@
 import { connect, createServer, type AddressInfo, type Socket } from 'node:net'
 import test from 'ava'
 import { Relay } from '../src/index.js'
-import { until } from './fake-entry.js'
+import { waitUntil } from './fake-entry.js'
 
-async function startEcho (): Promise<{ port: number, close: () => void }> {
+async function startEchoServer (): Promise<{ port: number, close: () => void }> {
   const server = createServer(socket => { socket.on('error', () => {}).pipe(socket) })
   server.listen(0, '127.0.0.1')
   await once(server, 'listening')
   return { port: (server.address() as AddressInfo).port, close: () => { server.close() } }
 }
 
-async function dial (relay: Relay): Promise<Socket> {
+async function connectTo (relay: Relay): Promise<Socket> {
   const socket = connect(relay.port, '127.0.0.1')
   await once(socket, 'connect')
   return socket
 }
 
-async function echo (socket: Socket, text: string, waitMs: number): Promise<string> {
+async function sendAndReceive (socket: Socket, text: string, waitMs: number): Promise<string> {
   socket.write(text)
   const silence = new Promise<string>(resolve => setTimeout(resolve, waitMs, 'silence'))
   return await Promise.race([once(socket, 'data').then(([chunk]) => String(chunk)), silence])
 }
 
 async function withRelay (body: (relay: Relay) => Promise<void>): Promise<void> {
-  const target = await startEcho()
+  const target = await startEchoServer()
   const relay = new Relay(target.port)
   await relay.start()
   await body(relay)
@@ -32,13 +32,13 @@
   target.close()
 }
 
-test('a blocked relay is silent and delivers what it held when restored, as a partition does', async t => {
+test('a blocked relay forwards nothing and delivers held-back data once restored, like a network partition', async t => {
   await withRelay(async relay => {
-    const socket = await dial(relay)
-    t.is(await echo(socket, 'a', 2_000), 'a')
+    const socket = await connectTo(relay)
+    t.is(await sendAndReceive(socket, 'a', 2_000), 'a')
     for (const direction of ['to_target', 'to_client', 'both'] as const) {
       relay.block(direction)
-      t.is(await echo(socket, direction, 60), 'silence')
+      t.is(await sendAndReceive(socket, direction, 60), 'silence')
       const delivered = once(socket, 'data')
       relay.restore()
       t.is(String((await delivered)[0]), direction)
@@ -48,31 +48,31 @@
   })
 })
 
-test('silenced connections stay silent while new ones work, so that only a silence limit can find them', async t => {
+test('silenced connections stay silent while new ones work, so that only an idle timeout can detect them', async t => {
   await withRelay(async relay => {
-    const old = await dial(relay)
-    await echo(old, 'a', 2_000)
+    const old = await connectTo(relay)
+    await sendAndReceive(old, 'a', 2_000)
     relay.silenceOpenConnections()
     relay.restore()
-    t.is(await echo(old, 'b', 60), 'silence')
-    const fresh = await dial(relay)
-    t.is(await echo(fresh, 'c', 2_000), 'c')
+    t.is(await sendAndReceive(old, 'b', 60), 'silence')
+    const fresh = await connectTo(relay)
+    t.is(await sendAndReceive(fresh, 'c', 2_000), 'c')
     old.destroy()
     fresh.destroy()
   })
 })
 
-test('a closure during a block reaches the other end once restored, so that no connection is left behind', async t => {
+test('a close during a block reaches the other end once restored, so that no connection leaks', async t => {
   await withRelay(async relay => {
     for (const close of ['destroy', 'resetAndDestroy'] as const) {
-      const socket = await dial(relay)
-      await echo(socket, 'a', 2_000)
+      const socket = await connectTo(relay)
+      await sendAndReceive(socket, 'a', 2_000)
       relay.block('both')
       socket[close]()
       await new Promise(resolve => setTimeout(resolve, 30))
       t.is(relay.openConnections, 1)
       relay.restore()
-      await until(() => relay.openConnections === 0)
+      await waitUntil(() => relay.openConnections === 0)
     }
   })
 })
--- a/packages/standins/test/system-fixture.ts
+++ b/packages/standins/test/system-fixture.ts
@@ -1,12 +1,12 @@
-/** Configuration and requests shared by the tests with real processes. */
+/** Fixture of the tests that run a local cluster: its inventory, backend servers and requests. */
 import { diffDocument, emptyConfiguration, toDocument, type ConfigurationDocument } from '@comfreygrade/core'
 import type { ExecutionContext } from 'ava'
 import { request } from 'undici'
 import { v7 } from 'uuid'
-import { LocalSystem, type LocalSystemOptions, StandInBackendServer, waitFor } from '../src/index.js'
+import { LocalCluster, type LocalClusterOptions, StandInBackendServer, waitFor } from '../src/index.js'
 
-/** Two racks of two workers with 8 accelerators, two organisations. */
-export const document: ConfigurationDocument = {
+/** Two racks with two workers of 8 accelerators each, and two organisations. */
+export const testInventory: ConfigurationDocument = {
   racks: ['montevideo', 'salto'].map(region => ({
     rackId: `${region}-r1`, region, availabilityZone: `${region}-a`
   })),
@@ -27,29 +27,31 @@
   rules: toDocument(emptyConfiguration()).rules
 }
 
-/** Starts a system with the document in force everywhere; it is stopped with the test, whatever its result. */
-export async function startConfigured (t: ExecutionContext, options: LocalSystemOptions = {}): Promise<LocalSystem> {
-  const system = await LocalSystem.start(options)
-  t.teardown(async () => { await system.stop() })
-  await configure(system)
-  return system
+/** Starts a cluster with `testInventory` in force on every node, and stops it when the test ends. */
+export async function startConfiguredCluster (
+  t: ExecutionContext, options: LocalClusterOptions = {}
+): Promise<LocalCluster> {
+  const cluster = await LocalCluster.start(options)
+  t.teardown(async () => { await cluster.stop() })
+  await applyInventory(cluster)
+  return cluster
 }
 
-async function configure (system: LocalSystem): Promise<void> {
-  const client = system.client(system.nodes[0]?.nodeId ?? '')
+async function applyInventory (cluster: LocalCluster): Promise<void> {
+  const client = cluster.client(cluster.nodes[0]?.nodeId ?? '')
   await waitFor('the configuration to be accepted', 20_000, async () =>
-    await client.applyChange(diffDocument(emptyConfiguration(), document)))
+    await client.applyChange(diffDocument(emptyConfiguration(), testInventory)))
   await waitFor('the configuration to be in force', 20_000, async () =>
     (await client.configurationStatus()).isInForceEverywhere || undefined)
 }
 
 /** Starts backend servers of service `billing` and waits until every node knows them. */
-export async function startBackends (
-  t: ExecutionContext, system: LocalSystem, count: number, serviceMs: number
+export async function startBackendServers (
+  t: ExecutionContext, cluster: LocalCluster, count: number, serviceMs: number
 ): Promise<StandInBackendServer[]> {
-  const backends = Array.from({ length: count }, (_, index) => new StandInBackendServer({
+  const backendServers = Array.from({ length: count }, (_, index) => new StandInBackendServer({
     backendServerId: `b${index}`,
-    entries: system.addresses,
+    entryAddresses: cluster.entryAddresses,
     region: 'montevideo',
     availabilityZone: 'montevideo-a',
     services: ['billing'],
@@ -57,27 +59,29 @@
     connections: 64,
     serviceMs
   }))
-  t.teardown(async () => { await Promise.all(backends.map(async backend => { await backend.kill() })) })
-  await Promise.all(backends.map(async backend => { await backend.start() }))
+  t.teardown(async () => { await Promise.all(backendServers.map(async server => { await server.kill() })) })
+  await Promise.all(backendServers.map(async server => { await server.start() }))
   await waitFor('every node to know the backend servers', 20_000, async () => {
-    const statuses = await Promise.all(system.nodes.map(async node => await system.client(node.nodeId).status()))
+    const statuses = await Promise.all(cluster.nodes.map(async node => await cluster.client(node.nodeId).status()))
     return statuses.every(status => status.backendServers >= count) || undefined
   })
-  return backends
+  return backendServers
 }
 
-/** How a caller's request ended, and what it was told about the work. */
-export interface CallResult {
+/** Result of a request, and what the response says about its execution. */
+export interface RequestResult {
   readonly requestId: string
   readonly key: string
   readonly status: number
-  /** `unknown` where the connection broke. */
+  /** `unknown` if there was no valid response. */
   readonly outcome: 'completed' | 'not_run' | 'unknown' | 'not_applicable'
   readonly body: string
 }
 
 /** Sends one non-repeatable request. */
-export async function call (address: string, requestId: string, key = v7(), deadlineMs = 5_000): Promise<CallResult> {
+export async function sendRequest (
+  address: string, requestId: string, key = v7(), deadlineMs = 5_000
+): Promise<RequestResult> {
   try {
     const response = await request(`${address}/v1/services/billing/requests`, {
       method: 'POST',
@@ -92,17 +96,17 @@
       signal: AbortSignal.timeout(deadlineMs + 2_000)
     })
     const body = await response.body.text()
-    const outcome = response.statusCode < 300 ? 'completed' : (JSON.parse(body) as CallResult).outcome
+    const outcome = response.statusCode < 300 ? 'completed' : (JSON.parse(body) as RequestResult).outcome
     return { requestId, key, status: response.statusCode, outcome, body }
   } catch {
     return { requestId, key, status: 0, outcome: 'unknown', body: '' }
   }
 }
 
-/** Executions by idempotency key, as the backend servers recorded them. */
-export function executionsByKey (backends: readonly StandInBackendServer[]): Map<string, number> {
+/** Counts the executions that the backend servers recorded, by idempotency key. */
+export function countExecutionsByKey (backendServers: readonly StandInBackendServer[]): Map<string, number> {
   const counts = new Map<string, number>()
-  for (const { idempotencyKey } of backends.flatMap(backend => backend.executions)) {
+  for (const { idempotencyKey } of backendServers.flatMap(server => server.executions)) {
     counts.set(idempotencyKey, (counts.get(idempotencyKey) ?? 0) + 1)
   }
   return counts
--- a/packages/standins/test/system.test.ts
+++ b/packages/standins/test/system.test.ts
@@ -1,177 +1,177 @@
-/** The whole system as processes, under kills, freezes, lost disks and cuts. */
+/** A local cluster of processes under kills, freezes, lost disks and network partitions. */
 import { setTimeout as delay } from 'node:timers/promises'
 import test from 'ava'
 import { v7 } from 'uuid'
 import type { ConfigurationChange } from '@comfreygrade/core'
 import { waitFor } from '../src/index.js'
-import { call, executionsByKey, startBackends, startConfigured, type CallResult } from './system-fixture.js'
+import { sendRequest, countExecutionsByKey, startBackendServers, startConfiguredCluster, type RequestResult } from './system-fixture.js'
 
-/** The target for a change of configuration to be in force everywhere. */
-const IN_FORCE_LIMIT_MS = 10_000
-/** A node without contact to the leader serves no longer than its configuration lease of 5 s, and some scheduling. */
-const STALE_LIMIT_MS = 7_000
+/** Target for a configuration change to be in force on every node. */
+const IN_FORCE_TARGET_MS = 10_000
+/** A node that cannot reach the leader serves until its configuration lease of 5 s expires; the rest is for delays. */
+const STALE_LEASE_TIMEOUT_MS = 7_000
 
-function addOrganisation (version: number, organisationId: string): ConfigurationChange {
+function createOrganisationChange (version: number, organisationId: string): ConfigurationChange {
   const record = { organisationId, quotaAccelerators: 1, weight: 1 }
   return { version, baseVersion: version - 1, upserts: [{ kind: 'organisation', record }], removes: [] }
 }
 
-test.serial('a killed leader loses no claim: nothing runs twice and "not run" is never contradicted', async t => {
-  const system = await startConfigured(t)
-  const backends = await startBackends(t, system, 3, 5)
-  const leader = await system.leader()
-  const survivors = system.nodes.filter(node => node.nodeId !== leader)
+test.serial('a killed leader loses no claim: no request is executed twice, and every repeated request is reported as completed', async t => {
+  const cluster = await startConfiguredCluster(t)
+  const backendServers = await startBackendServers(t, cluster, 3, 5)
+  const leader = await cluster.waitForLeader()
+  const survivors = cluster.nodes.filter(node => node.nodeId !== leader)
 
   const keys = Array.from({ length: 200 }, () => v7())
-  const calls: Array<Promise<CallResult>> = []
+  const calls: Array<Promise<RequestResult>> = []
   for (const [index, key] of keys.entries()) {
-    calls.push(call(survivors[index % survivors.length]?.address ?? '', `a${index}`, key))
-    if (index === 100) await system.kill(leader)
+    calls.push(sendRequest(survivors[index % survivors.length]?.address ?? '', `a${index}`, key))
+    if (index === 100) await cluster.kill(leader)
     await delay(5)
   }
   const first = await Promise.all(calls)
-  await system.leader(system.controlNodeIds().filter(nodeId => nodeId !== leader))
+  await cluster.waitForLeader(cluster.controlNodeIds().filter(nodeId => nodeId !== leader))
   const again = await Promise.all(keys.map(async (key, index) =>
-    await call(survivors[(index + 1) % survivors.length]?.address ?? '', `b${index}`, key)))
+    await sendRequest(survivors[(index + 1) % survivors.length]?.address ?? '', `b${index}`, key)))
 
-  const executions = executionsByKey(backends)
+  const executions = countExecutionsByKey(backendServers)
   for (const [index, key] of keys.entries()) {
     const count = executions.get(key) ?? 0
     t.true(count <= 1, `key ${index} ran ${count} times`)
-    const told = [first[index]?.outcome, again[index]?.outcome]
-    if (told.includes('completed')) t.is(count, 1, `key ${index} was answered as completed`)
+    const reported = [first[index]?.outcome, again[index]?.outcome]
+    if (reported.includes('completed')) t.is(count, 1, `key ${index} was reported as completed`)
   }
   for (const { key, outcome, status } of [...first, ...again]) {
     if (outcome === 'not_run' && status !== 503) t.fail(`key ${key} was refused with ${status}`)
   }
-  // All callers' nodes survive, so every request can be known to have completed once it was repeated.
+  // All entry nodes that took requests survive, so a repeat of any request must report it as completed.
   t.deepEqual([...new Set(again.map(result => result.outcome))], ['completed'])
 })
 
-test.serial('a frozen leader that resumes reverts nothing, and the change made meanwhile is in force everywhere', async t => {
-  const system = await startConfigured(t)
-  const frozen = await system.leader()
-  system.freeze(frozen)
-  const others = system.controlNodeIds().filter(nodeId => nodeId !== frozen)
-  const leader = await system.leader(others)
-  await system.client(leader).applyChange(addOrganisation(2, 'during-freeze'))
+test.serial('a frozen leader that resumes reverts no change, and the one made meanwhile is in force on every node', async t => {
+  const cluster = await startConfiguredCluster(t)
+  const frozen = await cluster.waitForLeader()
+  cluster.freeze(frozen)
+  const others = cluster.controlNodeIds().filter(nodeId => nodeId !== frozen)
+  const leader = await cluster.waitForLeader(others)
+  await cluster.client(leader).applyChange(createOrganisationChange(2, 'during-freeze'))
   await delay(6_000)
-  system.thaw(frozen)
+  cluster.resume(frozen)
 
-  await waitFor('the change to reach the node that was frozen', IN_FORCE_LIMIT_MS, async () =>
-    (await system.client(frozen).status()).configurationVersion === 2 || undefined)
-  const versions = await Promise.all(system.nodes.map(async node => {
-    const { configurationVersion } = await system.client(node.nodeId).status()
+  await waitFor('the change to reach the node that was frozen', IN_FORCE_TARGET_MS, async () =>
+    (await cluster.client(frozen).status()).configurationVersion === 2 || undefined)
+  const versions = await Promise.all(cluster.nodes.map(async node => {
+    const { configurationVersion } = await cluster.client(node.nodeId).status()
     return configurationVersion
   }))
-  t.deepEqual(versions, system.nodes.map(() => 2))
-  const { version, document } = await system.client(frozen).configuration()
+  t.deepEqual(versions, cluster.nodes.map(() => 2))
+  const { version, document } = await cluster.client(frozen).configuration()
   t.is(version, 2)
   t.true(document.organisations.some(organisation => organisation.organisationId === 'during-freeze'))
 })
 
-test.serial('with one VM down, a change is in force everywhere within 10 s of its acceptance', async t => {
-  const system = await startConfigured(t)
-  const down = system.nodes.find(node => !node.roles.includes('control'))
-  await system.kill(down?.nodeId ?? '')
-  const leader = await system.leader()
-  await system.client(leader).applyChange(addOrganisation(2, 'one-down'))
-  const status = await waitFor('the change to be in force', IN_FORCE_LIMIT_MS, async () => {
-    const current = await system.client(leader).configurationStatus()
+test.serial('with one VM down, a change is in force on all other nodes within 10 s of its acceptance', async t => {
+  const cluster = await startConfiguredCluster(t)
+  const down = cluster.nodes.find(node => !node.roles.includes('control'))
+  await cluster.kill(down?.nodeId ?? '')
+  const leader = await cluster.waitForLeader()
+  await cluster.client(leader).applyChange(createOrganisationChange(2, 'one-down'))
+  const status = await waitFor('the change to be in force', IN_FORCE_TARGET_MS, async () => {
+    const current = await cluster.client(leader).configurationStatus()
     return current.isInForceEverywhere ? current : undefined
   })
   t.is(status.version, 2)
   t.false(status.nodes.find(node => node.nodeId === down?.nodeId)?.hasLease ?? true)
 })
 
-test.serial('a lost disk is replaced, and losing a second VM right after the repair loses nothing', async t => {
-  const system = await startConfigured(t)
-  const leader = await system.leader()
-  const [lost, second] = system.controlNodeIds().filter(nodeId => nodeId !== leader) as [string, string]
-  await system.kill(lost)
-  await system.loseDisk(lost)
-  await system.client(leader).applyChange(addOrganisation(2, 'while-lost'))
-  await system.restart(lost)
+test.serial('a control node recovers from a lost disk, and the loss of a second VM right after loses no change', async t => {
+  const cluster = await startConfiguredCluster(t)
+  const leader = await cluster.waitForLeader()
+  const [lost, second] = cluster.controlNodeIds().filter(nodeId => nodeId !== leader) as [string, string]
+  await cluster.kill(lost)
+  await cluster.wipeDisk(lost)
+  await cluster.client(leader).applyChange(createOrganisationChange(2, 'while-lost'))
+  await cluster.restart(lost)
   await waitFor('the loss of one more control node to be survivable', 20_000, async () => {
-    const { replica } = await system.client(leader).status()
+    const { replica } = await cluster.client(leader).status()
     return replica?.survivableLosses === 1 || undefined
   })
 
-  await system.kill(second)
-  const survivor = await system.leader([leader, lost])
+  await cluster.kill(second)
+  const survivor = await cluster.waitForLeader([leader, lost])
   const accepted = await waitFor('a change with the repaired voter', 20_000, async () =>
-    await system.client(survivor).applyChange(addOrganisation(3, 'after-second-loss')))
+    await cluster.client(survivor).applyChange(createOrganisationChange(3, 'after-second-loss')))
   t.is(accepted.version, 3)
-  const { document } = await system.client(survivor).configuration()
+  const { document } = await cluster.client(survivor).configuration()
   t.true(document.organisations.some(organisation => organisation.organisationId === 'while-lost'))
 })
 
-test.serial('a leader that is silently cut off stops serving, and the rest goes on', async t => {
+test.serial('a control node that is silently partitioned stops serving, and the others continue', async t => {
   const relayedNodeId = 'salto-1'
-  const system = await startConfigured(t, { relayedNodeId })
-  await startBackends(t, system, 2, 5)
-  const others = system.controlNodeIds().filter(nodeId => nodeId !== relayedNodeId)
-  system.cutOff()
-  const leader = await system.leader(others)
-  await system.client(leader).applyChange(addOrganisation(2, 'during-cut'))
-  const cutOffMs = performance.now()
+  const cluster = await startConfiguredCluster(t, { relayedNodeId })
+  await startBackendServers(t, cluster, 2, 5)
+  const others = cluster.controlNodeIds().filter(nodeId => nodeId !== relayedNodeId)
+  cluster.partition()
+  const leader = await cluster.waitForLeader(others)
+  await cluster.client(leader).applyChange(createOrganisationChange(2, 'during-cut'))
+  const partitionedMs = performance.now()
 
-  const address = system.nodes.find(node => node.nodeId === relayedNodeId)?.address ?? ''
-  const refused = await waitFor('the node that is cut off to refuse', STALE_LIMIT_MS, async () => {
-    const result = await call(address, `cut-${performance.now() | 0}`)
+  const address = cluster.nodes.find(node => node.nodeId === relayedNodeId)?.address ?? ''
+  const refused = await waitFor('the partitioned node to refuse requests', STALE_LEASE_TIMEOUT_MS, async () => {
+    const result = await sendRequest(address, `cut-${performance.now() | 0}`)
     return result.body.includes('configuration_stale') ? result : undefined
   })
   t.is(refused.outcome, 'not_run')
-  await waitFor('the change to be in force without the node that is cut off',
-    IN_FORCE_LIMIT_MS - (performance.now() - cutOffMs),
-    async () => (await system.client(leader).configurationStatus()).isInForceEverywhere || undefined)
-  t.is((await call(system.nodes.find(node => node.nodeId === leader)?.address ?? '', 'during-cut')).outcome, 'completed')
+  await waitFor('the change to be in force without the partitioned node',
+    IN_FORCE_TARGET_MS - (performance.now() - partitionedMs),
+    async () => (await cluster.client(leader).configurationStatus()).isInForceEverywhere || undefined)
+  t.is((await sendRequest(cluster.nodes.find(node => node.nodeId === leader)?.address ?? '', 'during-cut')).outcome, 'completed')
 
-  system.reconnect()
-  await waitFor('the node to take the change after the cut', IN_FORCE_LIMIT_MS, async () =>
-    (await system.client(relayedNodeId).status()).configurationVersion === 2 || undefined)
-  await waitFor('the node to serve again', IN_FORCE_LIMIT_MS, async () => {
-    const result = await call(address, `healed-${performance.now() | 0}`)
+  cluster.healPartition()
+  await waitFor('the node to apply the change after the partition', IN_FORCE_TARGET_MS, async () =>
+    (await cluster.client(relayedNodeId).status()).configurationVersion === 2 || undefined)
+  await waitFor('the node to serve again', IN_FORCE_TARGET_MS, async () => {
+    const result = await sendRequest(address, `healed-${performance.now() | 0}`)
     return result.outcome === 'completed' || undefined
   })
 })
 
-test.serial('a graceful shutdown answers every open request and refuses later ones as not run', async t => {
-  const system = await startConfigured(t)
-  const backends = await startBackends(t, system, 2, 800)
-  const leaving = system.nodes[4]
-  const calls = Array.from({ length: 16 }, async (_, index) => await call(leaving?.address ?? '', `open-${index}`))
-  // A request that still waits for its claim was never sent, and may be handed back as not run.
+test.serial('a graceful shutdown responds to every open request and refuses later ones as not run', async t => {
+  const cluster = await startConfiguredCluster(t)
+  const backendServers = await startBackendServers(t, cluster, 2, 800)
+  const leaving = cluster.nodes[4]
+  const calls = Array.from({ length: 16 }, async (_, index) => await sendRequest(leaving?.address ?? '', `open-${index}`))
+  // A request that still waits for its claim has not been sent to a backend server, and can be refused as not run.
   await waitFor('the requests to run', 5_000, async () =>
-    backends.reduce((sum, backend) => sum + backend.openRequests, 0) === 16 || undefined)
-  const terminated = system.terminate(leaving?.nodeId ?? '')
+    backendServers.reduce((sum, server) => sum + server.openRequests, 0) === 16 || undefined)
+  const terminated = cluster.terminate(leaving?.nodeId ?? '')
   await delay(100)
-  const late = await call(leaving?.address ?? '', 'late')
+  const late = await sendRequest(leaving?.address ?? '', 'late')
   t.true(late.status === 503 || late.status === 0)
   t.true(late.outcome === 'not_run' || late.status === 0)
   const results = await Promise.all(calls)
   t.deepEqual([...new Set(results.map(result => result.status))], [200])
   await terminated
-  t.false([...backends.flatMap(backend => backend.executions)].some(execution => execution.requestId === 'late'))
+  t.false([...backendServers.flatMap(server => server.executions)].some(execution => execution.requestId === 'late'))
 })
 
-test.serial('a leaving backend server gets no new work from any node a few seconds later', async t => {
-  const system = await startConfigured(t)
-  const backends = await startBackends(t, system, 2, 5)
-  const [leaving] = backends
-  await leaving?.leave()
+test.serial('a backend server that deregisters gets no new requests from any node after 2 s', async t => {
+  const cluster = await startConfiguredCluster(t)
+  const backendServers = await startBackendServers(t, cluster, 2, 5)
+  const [leaving] = backendServers
+  await leaving?.deregister()
   await delay(2_000)
   const before = leaving?.executions.length
-  const results = await Promise.all(system.addresses.flatMap(address =>
-    Array.from({ length: 20 }, async (_, index) => await call(address, `after-${address.slice(-5)}-${index}`))))
+  const results = await Promise.all(cluster.entryAddresses.flatMap(address =>
+    Array.from({ length: 20 }, async (_, index) => await sendRequest(address, `after-${address.slice(-5)}-${index}`))))
   t.deepEqual([...new Set(results.map(result => result.outcome))], ['completed'])
   t.is(leaving?.executions.length, before)
 })
 
-test.serial('operators with equal numbers get one winner, a resend the first answer, and restarts revert nothing', async t => {
-  const system = await startConfigured(t)
-  const [left, right] = [system.client('montevideo-2'), system.client('salto-2')]
-  const changes = [addOrganisation(2, 'left'), addOrganisation(2, 'right')] as const
+test.serial('of two concurrent changes with the same version one is accepted, a repeat gets the first response, and restarts revert none', async t => {
+  const cluster = await startConfiguredCluster(t)
+  const [left, right] = [cluster.client('montevideo-2'), cluster.client('salto-2')]
+  const changes = [createOrganisationChange(2, 'left'), createOrganisationChange(2, 'right')] as const
   const race = await Promise.allSettled([left.applyChange(changes[0]), right.applyChange(changes[1])])
   t.deepEqual(race.map(result => result.status).sort(), ['fulfilled', 'rejected'])
   const refusal = race.find(result => result.status === 'rejected') as PromiseRejectedResult
@@ -179,42 +179,42 @@
   const winner = race[0].status === 'fulfilled' ? changes[0] : changes[1]
   t.is((await right.applyChange(winner)).version, 2)
 
-  for (let version = 3; version <= 302; version++) await left.applyChange(addOrganisation(version, `o-${version}`))
-  await Promise.all(system.nodes.map(async node => { await system.kill(node.nodeId) }))
-  await Promise.all(system.nodes.map(async node => { await system.restart(node.nodeId) }))
-  await system.leader()
-  await waitFor('every node to hold the last change', 20_000, async () => {
-    const statuses = await Promise.all(system.nodes.map(async node => await system.client(node.nodeId).status()))
+  for (let version = 3; version <= 302; version++) await left.applyChange(createOrganisationChange(version, `o-${version}`))
+  await Promise.all(cluster.nodes.map(async node => { await cluster.kill(node.nodeId) }))
+  await Promise.all(cluster.nodes.map(async node => { await cluster.restart(node.nodeId) }))
+  await cluster.waitForLeader()
+  await waitFor('every node to have applied the last change', 20_000, async () => {
+    const statuses = await Promise.all(cluster.nodes.map(async node => await cluster.client(node.nodeId).status()))
     return statuses.every(status => status.configurationVersion === 302) || undefined
   })
   t.is((await left.configuration()).version, 302)
 })
 
-test.serial('links that went silent for good are replaced, and requests that wait on them are answered', async t => {
+test.serial('permanently silent links are replaced, and requests that wait on them get a response', async t => {
   const relayedNodeId = 'salto-2'
-  const system = await startConfigured(t, { relayedNodeId })
-  const backends = await startBackends(t, system, 2, 5)
-  const address = system.nodes.find(node => node.nodeId === relayedNodeId)?.address ?? ''
-  system.silenceOpenLinks()
+  const cluster = await startConfiguredCluster(t, { relayedNodeId })
+  const backendServers = await startBackendServers(t, cluster, 2, 5)
+  const address = cluster.nodes.find(node => node.nodeId === relayedNodeId)?.address ?? ''
+  cluster.silenceOpenLinks()
   const results = await Promise.all(Array.from({ length: 20 }, async (_, index) =>
-    await call(address, `silent-${index}`, undefined, 10_000)))
+    await sendRequest(address, `silent-${index}`, undefined, 10_000)))
   t.deepEqual([...new Set(results.map(result => result.outcome))], ['completed'])
-  t.deepEqual([...new Set(executionsByKey(backends).values())], [1])
-  t.true((await system.client(relayedNodeId).status()).hasConfigurationLease)
+  t.deepEqual([...new Set(countExecutionsByKey(backendServers).values())], [1])
+  t.true((await cluster.client(relayedNodeId).status()).hasConfigurationLease)
 })
 
-test.serial('a killed entry node leaves no claim that could run again, and repeats elsewhere are told the truth', async t => {
-  const system = await startConfigured(t)
-  const backends = await startBackends(t, system, 2, 300)
-  const [killed, other] = [system.nodes[4], system.nodes[3]]
+test.serial('a killed entry node leaves no claim that could run again, and repeats at another node get the true outcome', async t => {
+  const cluster = await startConfiguredCluster(t)
+  const backendServers = await startBackendServers(t, cluster, 2, 300)
+  const [killed, other] = [cluster.nodes[4], cluster.nodes[3]]
   const keys = Array.from({ length: 30 }, () => v7())
-  const first = Promise.all(keys.map(async (key, index) => await call(killed?.address ?? '', `first-${index}`, key)))
-  await waitFor('requests to run', 5_000, async () => backends.some(backend => backend.openRequests > 0) || undefined)
-  await system.kill(killed?.nodeId ?? '')
+  const first = Promise.all(keys.map(async (key, index) => await sendRequest(killed?.address ?? '', `first-${index}`, key)))
+  await waitFor('requests to run', 5_000, async () => backendServers.some(server => server.openRequests > 0) || undefined)
+  await cluster.kill(killed?.nodeId ?? '')
   t.deepEqual([...new Set((await first).map(result => result.outcome))], ['unknown'])
-  const again = await Promise.all(keys.map(async (key, index) => await call(other?.address ?? '', `again-${index}`, key)))
+  const again = await Promise.all(keys.map(async (key, index) => await sendRequest(other?.address ?? '', `again-${index}`, key)))
   await delay(500)
-  const executions = executionsByKey(backends)
+  const executions = countExecutionsByKey(backendServers)
   for (const { key, outcome } of again) {
     const count = executions.get(key) ?? 0
     t.true(count <= 1, `key ${key} ran ${count} times`)
@@ -223,58 +223,58 @@
   }
 })
 
-test.serial('a drained VM takes no new requests until the drain is lifted', async t => {
-  const system = await startConfigured(t)
-  await startBackends(t, system, 2, 5)
-  const drained = system.nodes[4]
+test.serial('a drained VM accepts no new requests until the drain is removed', async t => {
+  const cluster = await startConfiguredCluster(t)
+  await startBackendServers(t, cluster, 2, 5)
+  const drained = cluster.nodes[4]
   const drain = { kind: 'vm', id: drained?.nodeId ?? '' } as const
-  await system.client('salto-1').drain(drain)
-  await waitFor('the node to refuse', 10_000, async () =>
-    (await call(drained?.address ?? '', `drained-${performance.now() | 0}`)).outcome === 'not_run' || undefined)
-  await system.client('salto-1').undrain(drain)
+  await cluster.client('salto-1').drain(drain)
+  await waitFor('the drained node to refuse requests', 10_000, async () =>
+    (await sendRequest(drained?.address ?? '', `drained-${performance.now() | 0}`)).outcome === 'not_run' || undefined)
+  await cluster.client('salto-1').undrain(drain)
   await waitFor('the node to serve again', 10_000, async () =>
-    (await call(drained?.address ?? '', `lifted-${performance.now() | 0}`)).outcome === 'completed' || undefined)
+    (await sendRequest(drained?.address ?? '', `lifted-${performance.now() | 0}`)).outcome === 'completed' || undefined)
   t.pass()
 })
 
-test.serial('a leader that can send but not receive is replaced, stops serving and reverts nothing', async t => {
+test.serial('a control node that can send but not receive does not keep the lead, stops serving and reverts no change', async t => {
   const relayedNodeId = 'salto-1'
-  const system = await startConfigured(t, { relayedNodeId })
-  await startBackends(t, system, 2, 5)
-  const others = system.controlNodeIds().filter(nodeId => nodeId !== relayedNodeId)
-  system.cutOffIncoming()
-  const leader = await system.leader(others)
-  await system.client(leader).applyChange(addOrganisation(2, 'during-cut'))
-  const address = system.nodes.find(node => node.nodeId === relayedNodeId)?.address ?? ''
-  await waitFor('the node that hears nothing to refuse', STALE_LIMIT_MS, async () =>
-    (await call(address, `deaf-${performance.now() | 0}`)).body.includes('configuration_stale') || undefined)
-  await waitFor('the change to be in force without it', IN_FORCE_LIMIT_MS, async () =>
-    (await system.client(leader).configurationStatus()).isInForceEverywhere || undefined)
-  system.reconnect()
-  await waitFor('the node to take the change after the cut', IN_FORCE_LIMIT_MS, async () =>
-    (await system.client(relayedNodeId).status()).configurationVersion === 2 || undefined)
-  t.is((await system.client(leader).configuration()).version, 2)
+  const cluster = await startConfiguredCluster(t, { relayedNodeId })
+  await startBackendServers(t, cluster, 2, 5)
+  const others = cluster.controlNodeIds().filter(nodeId => nodeId !== relayedNodeId)
+  cluster.partitionIncoming()
+  const leader = await cluster.waitForLeader(others)
+  await cluster.client(leader).applyChange(createOrganisationChange(2, 'during-cut'))
+  const address = cluster.nodes.find(node => node.nodeId === relayedNodeId)?.address ?? ''
+  await waitFor('the node that receives nothing to refuse requests', STALE_LEASE_TIMEOUT_MS, async () =>
+    (await sendRequest(address, `deaf-${performance.now() | 0}`)).body.includes('configuration_stale') || undefined)
+  await waitFor('the change to be in force without that node', IN_FORCE_TARGET_MS, async () =>
+    (await cluster.client(leader).configurationStatus()).isInForceEverywhere || undefined)
+  cluster.healPartition()
+  await waitFor('the node to apply the change after the partition', IN_FORCE_TARGET_MS, async () =>
+    (await cluster.client(relayedNodeId).status()).configurationVersion === 2 || undefined)
+  t.is((await cluster.client(leader).configuration()).version, 2)
 })
 
-test.serial('a drain survives a killed leader and a restart of every node', async t => {
-  const system = await startConfigured(t)
-  const drained = system.nodes[4]?.nodeId ?? ''
-  await system.client('montevideo-2').drain({ kind: 'vm', id: drained })
-  const leader = await system.leader()
-  await system.kill(leader)
-  await system.leader(system.controlNodeIds().filter(nodeId => nodeId !== leader))
-  const isDrained = async () => (await system.client(drained).status()).state === 'drained' || undefined
+test.serial('a drain survives the kill of the leader and a restart of every node', async t => {
+  const cluster = await startConfiguredCluster(t)
+  const drained = cluster.nodes[4]?.nodeId ?? ''
+  await cluster.client('montevideo-2').drain({ kind: 'vm', id: drained })
+  const leader = await cluster.waitForLeader()
+  await cluster.kill(leader)
+  await cluster.waitForLeader(cluster.controlNodeIds().filter(nodeId => nodeId !== leader))
+  const isDrained = async () => (await cluster.client(drained).status()).state === 'drained' || undefined
   await waitFor('the node to be drained under the next leader', 10_000, isDrained)
-  await Promise.all(system.nodes.filter(node => node.nodeId !== leader)
-    .map(async node => { await system.kill(node.nodeId) }))
-  await Promise.all(system.nodes.map(async node => { await system.restart(node.nodeId) }))
+  await Promise.all(cluster.nodes.filter(node => node.nodeId !== leader)
+    .map(async node => { await cluster.kill(node.nodeId) }))
+  await Promise.all(cluster.nodes.map(async node => { await cluster.restart(node.nodeId) }))
   await waitFor('the node to be drained after the restart', 20_000, isDrained)
   t.pass()
 })
 
-test.serial('a wave of cancellations while gangs run ends every job and frees every accelerator', async t => {
-  const system = await startConfigured(t)
-  const client = system.client('salto-2')
+test.serial('cancelling 200 jobs while some of them run ends every job and frees every accelerator', async t => {
+  const cluster = await startConfiguredCluster(t)
+  const client = cluster.client('salto-2')
   const jobIds = Array.from({ length: 200 }, (_, index) => `wave-${index}`)
   await Promise.all(jobIds.map(async jobId => await client.submitJob({
     jobId,
--- a/packages/standins/test/worker.test.ts
+++ b/packages/standins/test/worker.test.ts
@@ -1,87 +1,87 @@
 import test from 'ava'
 import { request } from 'undici'
 import { ManualClock, type Clock } from '@comfreygrade/core'
-import { FailEverything, FixedRunTime, type OrderKind, RefusePrepare, StandInWorker } from '../src/index.js'
-import { FakeEntry, until } from './fake-entry.js'
+import { FailTasksBehaviour, FixedRunTime, type OrderKind, RefusePrepareBehaviour, StandInWorker } from '../src/index.js'
+import { FakeEntryNode, waitUntil } from './fake-entry.js'
 
-interface Pair { entry: FakeEntry, worker: StandInWorker }
+interface WorkerFixture { entry: FakeEntryNode, worker: StandInWorker }
 
-async function send ({ entry, worker }: Pair, ...kinds: OrderKind[]) {
-  const incarnation = Number(entry.announcements[0]?.body.incarnation)
+async function sendOrders ({ entry, worker }: WorkerFixture, ...kinds: OrderKind[]) {
+  const incarnation = Number(entry.requests[0]?.body.incarnation)
   const cell = { firstAccelerator: 0, acceleratorCount: 8 }
   const orders = kinds.map(kind => ({
     kind, jobId: 'j-1', taskIndex: 0, leaseId: 1, ...cell, incarnation, leaseMs: 300
   }))
-  const answer = await request(`${worker.address}/v1/orders`, {
+  const response = await request(`${worker.address}/v1/orders`, {
     method: 'POST', body: JSON.stringify({ term: 1, orders }), signal: AbortSignal.timeout(500)
   })
-  return await answer.body.json() as { results: string[] }
+  return await response.body.json() as { results: string[] }
 }
 
-async function started (runMs: number, clock?: Clock): Promise<Pair> {
-  const entry = new FakeEntry()
+async function startWorker (runMs: number, clock?: Clock): Promise<WorkerFixture> {
+  const entry = new FakeEntryNode()
   await entry.start()
   const worker = new StandInWorker({ entries: [entry.address], runTimes: new FixedRunTime(runMs) }, clock)
   await worker.start()
-  // Orders are refused without a lease, which the first heartbeat brings.
-  await until(() => worker.acceptedHeartbeats > 0)
+  // A worker refuses orders until its first heartbeat has obtained a lease.
+  await waitUntil(() => worker.acceptedHeartbeats > 0)
   return { entry, worker }
 }
 
-async function stop ({ entry, worker }: Pair): Promise<void> {
+async function stopFixture ({ entry, worker }: WorkerFixture): Promise<void> {
   await worker.stop()
   await entry.stop()
 }
 
-test('heartbeats renew a lease, so a task that runs longer than its lease completes', async t => {
-  // The worker's time moves only after a heartbeat is answered, so that a pause of this process ends no lease.
+test('heartbeats renew the lease, so that a task that runs longer than one lease completes', async t => {
+  // Time advances only after an accepted heartbeat, so that a pause of this process cannot expire the lease.
   const clock = new ManualClock(1_000)
-  const pair = await started(600, clock)
-  await send(pair, 'prepare', 'start')
-  while (pair.worker.runs[0]?.endedMs === undefined) {
-    const answered = pair.worker.acceptedHeartbeats
-    await until(() => pair.worker.acceptedHeartbeats > answered)
+  const fixture = await startWorker(600, clock)
+  await sendOrders(fixture, 'prepare', 'start')
+  while (fixture.worker.runs[0]?.endedMs === undefined) {
+    const acceptedBefore = fixture.worker.acceptedHeartbeats
+    await waitUntil(() => fixture.worker.acceptedHeartbeats > acceptedBefore)
     clock.advance(100)
   }
-  t.is(pair.worker.runs[0]?.state, 'completed')
-  await stop(pair)
+  t.is(fixture.worker.runs[0]?.state, 'completed')
+  await stopFixture(fixture)
 })
 
-test('a task is stopped once the entry node is gone, so an unreachable worker frees its cell by itself', async t => {
-  const pair = await started(5_000)
-  const { entry, worker } = pair
-  await send(pair, 'prepare', 'start')
+test('a worker without an entry node stops its task when the lease expires, so that its accelerators can be reassigned', async t => {
+  const fixture = await startWorker(5_000)
+  const { entry, worker } = fixture
+  await sendOrders(fixture, 'prepare', 'start')
   await entry.stop()
-  await until(() => worker.runs[0]?.endedMs !== undefined)
-  t.like(worker.runs[0], { state: 'stopped', isLeaseLost: true })
+  await waitUntil(() => worker.runs[0]?.endedMs !== undefined)
+  t.like(worker.runs[0], { state: 'stopped', isLeaseExpired: true })
   await worker.kill()
 })
 
-test('a frozen worker answers no order and stops its task on thawing, so its gang can run elsewhere', async t => {
-  const pair = await started(5_000)
-  await send(pair, 'prepare', 'start')
-  pair.worker.freeze()
-  await t.throwsAsync(send(pair, 'stop'), { any: true, name: 'TimeoutError' })
-  pair.worker.thaw()
-  t.like(pair.worker.runs[0], { state: 'stopped', isLeaseLost: true })
-  await stop(pair)
+test('a frozen worker responds to no order and stops its task when it resumes, so that the gang can run elsewhere', async t => {
+  const fixture = await startWorker(5_000)
+  await sendOrders(fixture, 'prepare', 'start')
+  fixture.worker.freeze()
+  await t.throwsAsync(sendOrders(fixture, 'stop'), { any: true, name: 'TimeoutError' })
+  fixture.worker.resume()
+  t.like(fixture.worker.runs[0], { state: 'stopped', isLeaseExpired: true })
+  await stopFixture(fixture)
 })
 
-test('a failure is reported at once, so the gang does not wait for the next heartbeat', async t => {
-  const pair = await started(5_000)
-  pair.entry.leaseMs = 60_000
-  pair.worker.behave(new FailEverything())
-  await send(pair, 'prepare', 'start')
-  const hasFailure = () => JSON.stringify(pair.entry.announcements.at(-1)).includes('"failed"')
-  await until(hasFailure)
+test('a failed task is reported at once, so that its gang does not wait for the next periodic heartbeat', async t => {
+  const fixture = await startWorker(5_000)
+  fixture.entry.leaseMs = 60_000
+  fixture.worker.setBehaviour(new FailTasksBehaviour())
+  await sendOrders(fixture, 'prepare', 'start')
+  const hasFailure = () => JSON.stringify(fixture.entry.requests.at(-1)).includes('"failed"')
+  await waitUntil(hasFailure)
   t.true(hasFailure())
-  await stop(pair)
+  await stopFixture(fixture)
 })
 
-test('a worker that refuses holds nothing, so the leader must requeue the gang', async t => {
-  const pair = await started(5_000)
-  pair.worker.behave(new RefusePrepare())
-  t.deepEqual((await send(pair, 'prepare')).results, ['refused'])
-  t.is(pair.worker.runs.length, 0)
-  await stop(pair)
+test('a worker that refuses a prepare order reserves no accelerators, so that the leader requeues the gang', async t => {
+  const fixture = await startWorker(5_000)
+  fixture.worker.setBehaviour(new RefusePrepareBehaviour())
+  t.deepEqual((await sendOrders(fixture, 'prepare')).results, ['refused'])
+  t.is(fixture.worker.runs.length, 0)
+  await stopFixture(fixture)
 })
