--- a/packages/standins/src/index.ts
+++ b/packages/standins/src/index.ts
@@ -1,3 +1,4 @@
+/** Stand-ins: simulated workers, backend servers and networks, and processes of the product, for demos and tests. */
 export * from './backend-behaviour.js'
 export * from './backend-server.js'
 export * from './entry-client.js'
@@ -11,5 +12,5 @@
 export * from './worker.js'
 export * from './worker-behaviour.js'
 export * from './node-process.js'
-export * from './local-system.js'
+export * from './local-cluster.js'
 export * from './waiting.js'
