--- a/packages/bench/src/consensus-bench.ts
+++ b/packages/bench/src/consensus-bench.ts
@@ -8,9 +8,9 @@
 import { build } from 'hdr-histogram-js'
 import { benchCommand, type BenchCommand, type ConsensusBenchAdapters } from './consensus-adapters.js'
 import { BenchCluster } from './consensus-cluster.js'
-import { ClusterModel } from './consensus-model.js'
+import { ClusterModel } from './consensus-simulation.js'
 import type { BenchTable } from './format.js'
-import { NodeAdapters } from './capacity-adapters.js'
+import { NodeAdapters } from './consensus-node-adapters.js'
 
 const measureMs = 5_000
 const failoverSeeds = 20
--- a/packages/bench/src/routing-bench.ts
+++ b/packages/bench/src/routing-bench.ts
@@ -3,7 +3,7 @@
 import type { BenchTable } from './format.js'
 import type { Deployment } from './routing-load.js'
 import type { Measures } from './routing-measures.js'
-import { RoutingWorld, type PolicyName } from './routing-world.js'
+import { RoutingWorld, type PolicyName } from './routing-simulation.js'
 
 /** One column of the table: a policy with all mechanisms, or with one of them changed. */
 export interface Variant {
--- a/packages/bench/src/routing-servers.ts
+++ b/packages/bench/src/routing-servers.ts
@@ -1,6 +1,6 @@
 /** Fake backend servers of the routing benchmark. */
 import type { BackendServerRecord } from '@comfreygrade/core'
-import type { Agenda } from './routing-agenda.js'
+import type { Agenda } from './routing-event-queue.js'
 
 /** What a fake server does with requests at present. */
 export type ServerBehaviour = 'normal' | 'fails_fast' | 'frozen' | 'slow' | 'gone'
--- a/packages/bench/src/routing-world.ts
+++ b/packages/bench/src/routing-simulation.ts
@@ -5,7 +5,7 @@
   type AttemptFailureReason, type LoadReport, type RoutingEffect, type RoutingEvent, type RoutingPolicy,
   type RoutingSettings
 } from '@comfreygrade/routing'
-import { Agenda } from './routing-agenda.js'
+import { Agenda } from './routing-event-queue.js'
 import {
   clientDelayMs, drawArrival, drawGapMs, drawLongArrival, loadFactor, longBurst, meanServiceMs, organisationShares,
   pick, regionShares, swing, type Deployment, type PlannedArrival
--- a/packages/bench/test/routing-bench.test.ts
+++ b/packages/bench/test/routing-bench.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava'
 import { drawArrival } from '../src/routing-load.js'
 import { measure, type RequestTrace } from '../src/routing-measures.js'
-import { RoutingWorld } from '../src/routing-world.js'
+import { RoutingWorld } from '../src/routing-simulation.js'
 import { Random } from '@comfreygrade/core'
 
 const counts = { dispatches: 1, crossRegionDispatches: 0, retries: 0, routerMs: 0, reports: 0, reportBytes: 0 }
