--- a/packages/batch/src/advice-tickets.ts
+++ b/packages/batch/src/advice-tickets.ts
@@ -14,7 +14,7 @@
   readonly expiresAtMs: number
 }
 
-/** Validity that a ticket must have left to be used, since the start order takes time to arrive. */
+/** Validity that a ticket must have left to be considered in placement, since the start order takes time to arrive. */
 const TICKET_EXPIRY_MARGIN_MS = 400
 
 /** Shortest time from an answer of the advice service until the next request for the same step. */
--- a/packages/batch/src/batch-state.ts
+++ b/packages/batch/src/batch-state.ts
@@ -41,7 +41,7 @@
   readonly task: TaskRecord
 }
 
-/** Workers kept of a task's failed runs, so that its next run avoids them. */
+/** Number of most recent failed workers kept per task, so that its next run avoids them. */
 const MAX_FAILED_WORKERS_PER_TASK = 4
 
 /**
@@ -358,7 +358,7 @@
  * Key of a run of a task; unique within one incarnation of a worker.
  *
  * @example
- * runInLife({ taskKey: '5c0e.0.0.0', run: 2 }) // '5c0e.0.0.0#2'
+ * taskRunKey({ taskKey: '5c0e.0.0.0', run: 2 }) // '5c0e.0.0.0#2'
  */
 export function taskRunKey ({ taskKey, run }: Pick<Assignment, 'taskKey' | 'run'>): string {
   return `${taskKey}#${run}`
@@ -368,7 +368,7 @@
  * Key of a run on one incarnation of a worker.
  *
  * @example
- * runKey({ taskKey: '5c0e.0.0.0', run: 2, workerId: 'w1', incarnation: 9 }) // '5c0e.0.0.0#2@9'
+ * assignmentKey({ taskKey: '5c0e.0.0.0', run: 2, workerId: 'w1', incarnation: 9 }) // '5c0e.0.0.0#2@9'
  */
 export function assignmentKey ({ taskKey, run, incarnation }: Assignment): string {
   return `${taskRunKey({ taskKey, run })}@${incarnation}`
--- a/packages/batch/src/commands.ts
+++ b/packages/batch/src/commands.ts
@@ -9,8 +9,22 @@
   readonly incarnation: number
 }
 
-/** How a run ended on its worker. */
-export type EndReason = 'done' | 'failed' | 'stopped' | 'lapsed' | 'broken' | 'alone' | 'refused'
+/**
+ * How a run ended on its worker. Only `done` completes a task (never a lasting one), and only `failed` counts as an
+ * attempt; after any other end the task waits for a worker again.
+ */
+export type EndReason =
+  | 'done'
+  | 'failed'
+  /** The worker carried out a stop order. */
+  | 'stopped'
+  /** The worker's lease ended. */
+  | 'lapsed'
+  /** `broken` and `alone`: a gang member cannot run without the other members; the scheduler treats both alike. */
+  | 'broken'
+  | 'alone'
+  /** The worker did not accept the run. */
+  | 'refused'
 
 /** The end of a run as its worker reports it. */
 export interface RunEnd {
@@ -22,7 +36,10 @@
   readonly checkpoint: string
 }
 
-/** A run assigned to one incarnation of a worker. */
+/**
+ * A run assigned to one incarnation of a worker. A run is one attempt at a task; the runs of a task are numbered from
+ * 1, and `run` is that number.
+ */
 export interface Assignment extends WorkerIncarnation {
   readonly taskKey: string
   readonly run: number
@@ -54,10 +71,11 @@
   }
   | { readonly kind: 'cancel_job', readonly jobId: string }
   | { readonly kind: 'assign', readonly assignments: readonly Assignment[] }
+  /** `life` is the incarnation that reported the ends. */
   | { readonly kind: 'record_ends', readonly life: WorkerIncarnation, readonly ends: readonly RunEnd[] }
   /** Removes runs that are certainly not on their workers. */
   | { readonly kind: 'release', readonly runs: readonly Assignment[] }
-  /** No run of this incarnation is active any more: it crashed, left, or its lease expired. */
+  /** No run of the incarnation `life` is active any more: it crashed, left, or its lease expired. */
   | { readonly kind: 'worker_gone', readonly life: WorkerIncarnation, readonly checkpoints: readonly TaskCheckpoint[] }
   | { readonly kind: 'start_wave', readonly wave: MaintenanceWave, readonly startedWallMs: number }
   /** The platform has begun the maintenance of a VM, or the VM needs none. */
--- a/packages/batch/src/disruption-budget.ts
+++ b/packages/batch/src/disruption-budget.ts
@@ -1,4 +1,7 @@
-/** Limits how many tasks of a lasting step the leader's own stop orders make unavailable at once. */
+/**
+ * Limits how many tasks of a lasting step the leader makes unavailable at once for maintenance. Other stops are not
+ * limited: evictions from leaving workers, and stops of runs without a valid ticket.
+ */
 import type { BatchState, TaskContext } from './batch-state.js'
 import type { Assignment } from './commands.js'
 import { stepKeyOf } from './jobs.js'
@@ -9,41 +12,41 @@
 export class DisruptionBudget {
   readonly #state: BatchState
   readonly #registry: WorkerRegistry
-  readonly #isStopping: (run: Assignment) => boolean
+  readonly #isStopping: (assignment: Assignment) => boolean
 
-  constructor (state: BatchState, registry: WorkerRegistry, isStopping: (run: Assignment) => boolean) {
+  constructor (state: BatchState, registry: WorkerRegistry, isStopping: (assignment: Assignment) => boolean) {
     this.#state = state
     this.#registry = registry
     this.#isStopping = isStopping
   }
 
   /**
-   * Whether a stop order may end this run. It may not where the run is available and as many other tasks of its step as
-   * allowed are unavailable already.
+   * Whether the run may be stopped for maintenance. It may not where the run is available and as many other tasks of
+   * its step as allowed are unavailable already.
    *
    * @example
-   * if (budget.allowsStop(run)) orders.stop(run)
+   * if (budget.allowsStop(assignment)) orders.stop(assignment)
    */
-  allowsStop (run: Assignment): boolean {
-    const context = this.#state.findTask(run.taskKey)
+  allowsStop (assignment: Assignment): boolean {
+    const context = this.#state.findTask(assignment.taskKey)
     const maxUnavailable = context?.stepSpec.maxUnavailable
-    if (context === undefined || maxUnavailable === undefined || !this.#isAvailable(run)) return true
-    return this.#countOtherUnavailableTasks(context, run) < maxUnavailable
+    if (context === undefined || maxUnavailable === undefined || !this.#isAvailable(assignment)) return true
+    return this.#countOtherUnavailableTasks(context, assignment) < maxUnavailable
   }
 
-  #countOtherUnavailableTasks ({ step }: TaskContext, run: Assignment): number {
-    const stepKey = stepKeyOf(run.taskKey)
+  #countOtherUnavailableTasks ({ step }: TaskContext, assignment: Assignment): number {
+    const stepKey = stepKeyOf(assignment.taskKey)
     let unavailable = 0
     step.tasks.forEach((task, index) => {
       const taskKey = `${stepKey}.${index}`
-      if (taskKey === run.taskKey) return
+      if (taskKey === assignment.taskKey) return
       if (!task.active.some(active => this.#isAvailable({ ...active, taskKey }))) unavailable++
     })
     return unavailable
   }
 
-  #isAvailable (run: Assignment): boolean {
-    const task = this.#registry.view(run.workerId)?.runningTask(run.taskKey, run.run)
-    return task !== undefined && task.percent >= FULL_PROGRESS_PERCENT && !this.#isStopping(run)
+  #isAvailable (assignment: Assignment): boolean {
+    const task = this.#registry.view(assignment.workerId)?.runningTask(assignment.taskKey, assignment.run)
+    return task !== undefined && task.percent >= FULL_PROGRESS_PERCENT && !this.#isStopping(assignment)
   }
 }
--- a/packages/batch/src/evictions.ts
+++ b/packages/batch/src/evictions.ts
@@ -11,7 +11,7 @@
 
 /** A run to evict, with the figures behind the decision for the log. */
 export interface Eviction {
-  readonly run: Assignment
+  readonly assignment: Assignment
   readonly reason: EvictionReason
   /** For a stalled run: time without progress, and its latest progress. */
   readonly unchangedMs?: number
@@ -22,17 +22,18 @@
 }
 
 /**
- * Chooses the runs of a worker that have stalled, or that cannot end before the worker leaves. Checkpointing and
- * lasting runs move at once. A run whose work would be lost stays while the worker may still live long enough.
+ * Chooses the runs of a leaving worker that cannot end before it is gone, and the stalled runs of any other worker.
+ * Checkpointing and lasting runs move as soon as the reported remaining time is too short for them. A run whose work
+ * would be lost gets `leavingGraceMs` more, since the worker may live longer than it reports.
  *
  * @example
- * for (const { run } of planEvictions(state, view, settings, nowMs)) orders.stop(run)
+ * for (const { assignment } of planEvictions(state, view, settings, nowMs)) orders.stop(assignment)
  */
 export function planEvictions (
   state: BatchState, view: WorkerView, settings: BatchSettings, nowMs: number
 ): Eviction[] {
   const isLeaving = view.latest.state === 'leaving'
-  // Most workers have no stalled run, and looking at every run of a large fleet is costly.
+  // Most workers have no run without progress, and looking at every run of a large fleet is costly.
   if (!isLeaving && view.runsUnchangedSince(nowMs - settings.stalledAfterMs).length === 0) return []
   const runs = listOccupyingRuns(state, view, () => false, nowMs)
   if (isLeaving) {
@@ -50,17 +51,17 @@
 export function planDrain (state: BatchState, view: WorkerView, nowMs: number): Eviction[] {
   return listOccupyingRuns(state, view, () => false, nowMs)
     .filter(({ spec }) => spec.isLasting || spec.isCheckpointing)
-    .map(({ assignment }) => ({ run: assignment, reason: 'maintenance' }))
+    .map(({ assignment }) => ({ assignment, reason: 'maintenance' }))
 }
 
 function evictFromLeavingWorker ({ assignment, remainingMs }: OccupyingRun, view: WorkerView): Eviction {
-  return { run: assignment, reason: 'worker_leaving', remainingMs, workerRemainingMs: view.latest.remainingMs }
+  return { assignment, reason: 'worker_leaving', remainingMs, workerRemainingMs: view.latest.remainingMs }
 }
 
 function evictStalled ({ assignment }: OccupyingRun, view: WorkerView, nowMs: number): Eviction {
   const { taskKey, run } = assignment
   const unchangedMs = view.unchangedMs(taskKey, run, nowMs)
-  return { run: assignment, reason: 'stalled', unchangedMs, percent: view.runningTask(taskKey, run)?.percent }
+  return { assignment, reason: 'stalled', unchangedMs, percent: view.runningTask(taskKey, run)?.percent }
 }
 
 function cannotEndInTime (run: OccupyingRun, workerRemainingMs: number | undefined, settings: BatchSettings): boolean {
@@ -85,5 +86,8 @@
     spec.estimateMs * STALL_TIMEOUT_ESTIMATE_SHARE
 }
 
-/** Share of the estimated run time; even a much slower worker makes one percent of progress within it. */
+/**
+ * Share of the estimated run time, for the eviction of a stalled run; even a much slower worker makes one percent of
+ * progress within it. A run becomes suspect, which only keeps new runs off its worker, after a smaller share.
+ */
 const STALL_TIMEOUT_ESTIMATE_SHARE = 0.1
--- a/packages/batch/src/filler-pacing.ts
+++ b/packages/batch/src/filler-pacing.ts
@@ -30,8 +30,11 @@
     this.#state = state
   }
 
-  /** Pace orders for the fillers of a worker, where the pace has changed since the last answer. */
-  ordersFor (view: WorkerView): PaceOrder[] {
+  /**
+   * Advances the pace of a worker's fillers by one step and takes the pace orders for the answer to its heartbeat:
+   * those of fillers whose pace has changed since the last answer.
+   */
+  takeOrders (view: WorkerView): PaceOrder[] {
     const { workerId } = view.latest
     const tasks = view.latest.running.flatMap(task => this.#withSpec(task))
     const fillers = tasks.filter(({ spec }) => spec.isFiller)
@@ -51,8 +54,8 @@
 
   #nextPacePercent (workerId: string, tasks: readonly TaskWithSpec[]): number {
     const current = this.#paceByWorker.get(workerId) ?? FULL_PACE_PERCENT
-    const services = tasks.filter(({ spec }) => spec.isLasting && spec.targetLatencyMs > 0)
-    const worstTargetShare = Math.max(0, ...services.map(({ task, spec }) => task.usage / spec.targetLatencyMs))
+    const lastingTasks = tasks.filter(({ spec }) => spec.isLasting && spec.targetLatencyMs > 0)
+    const worstTargetShare = Math.max(0, ...lastingTasks.map(({ task, spec }) => task.usage / spec.targetLatencyMs))
     if (worstTargetShare > SLOW_DOWN_ABOVE_TARGET_SHARE) {
       const slower = Math.floor(current * DECREASE_FACTOR)
       return slower < MIN_PACE_PERCENT ? 0 : slower
--- a/packages/batch/src/job-record.ts
+++ b/packages/batch/src/job-record.ts
@@ -41,7 +41,12 @@
   /** Log time at which the job ended, for its retention; 0 while the job is open. */
   endedLogMs: number
   state: 'open' | 'completed' | 'failed' | 'cancelled'
+  /**
+   * Whether the end of any of its runs has been recorded. Whether a run has only been reported as running is known to
+   * the leader alone (`WorkerRegistry.hasStarted`).
+   */
   hasStarted: boolean
+  /** An occurrence is null until a run of it is assigned. */
   occurrences: Array<OccurrenceRecord | null>
 }
 
@@ -76,7 +81,9 @@
   return job.occurrences.every(occurrence => occurrence?.steps.every(isStepDone) ?? false)
 }
 
-/** State as shown to callers. */
+/**
+ * State as shown to callers, except that the leader also shows an open job as running from the report of its first run.
+ */
 export function visibleState (job: JobRecord): JobState {
   if (job.state !== 'open') return job.state
   return job.hasStarted ? 'running' : 'queued'
--- a/packages/batch/src/jobs.ts
+++ b/packages/batch/src/jobs.ts
@@ -31,7 +31,7 @@
   readonly isCheckpointing: boolean
   /** Gang scheduling: the tasks start together, and none ends before the others. */
   readonly isGang: boolean
-  /** The tasks run several times slower when they are spread over racks. */
+  /** Only for gangs: the tasks run several times slower when they are spread over racks. */
   readonly isSameRack: boolean
   /** Label that the worker must have; empty for none. */
   readonly requiredLabel: string
@@ -39,16 +39,22 @@
   readonly dataRack: string
   /** At most this many tasks of one occurrence on one worker; 0 for no limit. */
   readonly maxTasksPerWorker: number
-  /** Several runs of a task may be active at once, and the first to end counts. */
+  /**
+   * The caller allows several runs of a task at once, of which the first to end counts. The scheduler accepts the flag
+   * but does not use it: a task has one active run at a time.
+   */
   readonly isSpeculative: boolean
-  /** Long-running service: the tasks run until the job is cancelled, and are restarted however they end. */
+  /** Long-running tasks: they run until the job is cancelled, and are restarted however they end. */
   readonly isLasting: boolean
   readonly image: string
   /** Tail latency that users expect of a lasting task; 0 for none. */
   readonly targetLatencyMs: number
   /** Best-effort tasks: they use only spare processor time, which does not count against the worker's capacity. */
   readonly isFiller: boolean
-  /** Most tasks of a lasting step that stop orders may make unavailable at once; undefined for no limit. */
+  /**
+   * Disruption budget: most tasks of a lasting step that maintenance may make unavailable at once; undefined for no
+   * limit. Evictions from leaving workers, and stops for want of a valid ticket, are not limited.
+   */
   readonly maxUnavailable?: number
 }
 
--- a/packages/batch/src/leader.ts
+++ b/packages/batch/src/leader.ts
@@ -25,6 +25,7 @@
   | { readonly kind: 'report', readonly requestId: string, readonly report: WorkerReport }
   | { readonly kind: 'worker_left', readonly requestId: string, readonly workerId: string }
   | { readonly kind: 'applied', readonly proposalId: string, readonly result: CommandResult }
+  /** `isCertain` where the command can never take effect; otherwise it may still be committed. */
   | { readonly kind: 'rejected', readonly proposalId: string, readonly isCertain: boolean }
   | {
     readonly kind: 'advice'
@@ -39,6 +40,7 @@
 export type LeaderEffect =
   | { readonly kind: 'propose', readonly proposalId: string, readonly command: BatchCommand }
   | { readonly kind: 'reply', readonly requestId: string, readonly result: BatchResult }
+  /** `orders` is undefined where the report was ignored or replaced, and for the message of a worker that has left. */
   | { readonly kind: 'reply_worker', readonly requestId: string, readonly orders: WorkerOrders | undefined }
   | { readonly kind: 'begin_maintenance', readonly call: MaintenanceCall, readonly fencingToken: number }
   | { readonly kind: 'ask_advice', readonly stepKey: string, readonly workerIds: readonly string[] }
@@ -55,7 +57,7 @@
 
 /** The interval between passes is at least this multiple of their duration, so that heartbeats are answered in time. */
 const MIN_PASS_INTERVAL_FACTOR = 4
-/** Interval between checks for silent, leaving and stalled workers and for due maintenance. */
+/** Interval between checks for expired leases, for leaving and stalled workers and for due maintenance. */
 const FLEET_CHECK_INTERVAL_MS = 100
 
 /**
@@ -105,9 +107,16 @@
       requestPass: () => { this.#isPassDue = true },
       isPassPending: () => this.#isPassDue || this.#isAssigning
     })
-    this.#disruptionBudget = new DisruptionBudget(state, this.#registry, run => this.#orders.isStopping(run))
+    this.#disruptionBudget = new DisruptionBudget(
+      state, this.#registry, assignment => this.#orders.isStopping(assignment)
+    )
     this.#maintenance = new MaintenancePlanner({
-      state, registry: this.#registry, settings, clock, log, allowsStop: run => this.#disruptionBudget.allowsStop(run)
+      state,
+      registry: this.#registry,
+      settings,
+      clock,
+      log,
+      allowsStop: assignment => this.#disruptionBudget.allowsStop(assignment)
     })
   }
 
@@ -145,7 +154,7 @@
     const decision = this.#scheduler.runPass(this.#options.state, {
       views: this.#registry.views(),
       isSchedulable: view => this.#registry.isSchedulable(view) && !this.#maintenance.isCordoned(view),
-      isStopping: run => this.#orders.isStopping(run),
+      isStopping: assignment => this.#orders.isStopping(assignment),
       permittedWorkers: key => this.#tickets.permittedWorkers(key)
     })
     for (const step of decision.stepsNeedingTickets) this.#requestAdvice(step)
@@ -155,13 +164,13 @@
     this.#nextPassMs = nowMs + Math.max(this.#options.settings.passIntervalMs, durationMs * MIN_PASS_INTERVAL_FACTOR)
   }
 
-  #reclaim ({ run, forStepKey, lostCoreSeconds }: Reclaim): void {
-    const { taskKey, workerId } = run
+  #reclaim ({ assignment, forStepKey, lostCoreSeconds }: Reclaim): void {
+    const { taskKey, workerId } = assignment
     this.#options.metrics.increment('run.reclaimed')
     this.#options.log.info('run reclaimed', {
-      taskKey, run: run.run, workerId, forStepKey, lostCoreSeconds: Math.round(lostCoreSeconds)
+      taskKey, run: assignment.run, workerId, forStepKey, lostCoreSeconds: Math.round(lostCoreSeconds)
     })
-    this.#orders.stop(run)
+    this.#orders.stop(assignment)
   }
 
   #assign (assignments: readonly Assignment[]): void {
@@ -209,7 +218,7 @@
     this.#isPassDue = true
   }
 
-  /** Called after every event, since a timer that each event restarts would never fire under load. */
+  /** Runs after every event, since a timer that each event restarts would never fire under load. */
   #checkFleetIfDue (): void {
     const nowMs = this.#options.clock.monotonicMs()
     if (nowMs - this.#lastFleetCheckMs < FLEET_CHECK_INTERVAL_MS) return
@@ -229,22 +238,22 @@
     for (const view of this.#maintenance.cordonedViews()) this.#drain(planDrain(state, view, clock.monotonicMs()))
   }
 
-  #drain (evictions: readonly Eviction[]): void {
+  #drain (planned: readonly Eviction[]): void {
     // Each eviction uses up the budget before the next one is checked.
-    for (const eviction of evictions) if (this.#disruptionBudget.allowsStop(eviction.run)) this.#evict([eviction])
+    for (const eviction of planned) if (this.#disruptionBudget.allowsStop(eviction.assignment)) this.#evict([eviction])
   }
 
   #evict (evictions: readonly Eviction[]): void {
-    for (const { run, ...details } of evictions) {
-      if (this.#orders.isStopping(run)) continue
-      const { taskKey, workerId } = run
-      this.#options.log.info('run evicted', { taskKey, run: run.run, workerId, ...details })
-      this.#orders.stop(run)
+    for (const { assignment, ...details } of evictions) {
+      if (this.#orders.isStopping(assignment)) continue
+      const { taskKey, workerId } = assignment
+      this.#options.log.info('run evicted', { taskKey, run: assignment.run, workerId, ...details })
+      this.#orders.stop(assignment)
     }
   }
 
   #beginDueMaintenance (): void {
-    for (const call of this.#maintenance.dueCalls()) {
+    for (const call of this.#maintenance.startDueCalls()) {
       this.#effects.push({ kind: 'begin_maintenance', call, fencingToken: this.#options.term })
     }
   }
--- a/packages/batch/src/maintenance.ts
+++ b/packages/batch/src/maintenance.ts
@@ -35,7 +35,7 @@
   readonly state: BatchState
   readonly registry: WorkerRegistry
   /** Whether the disruption budget of the run's step allows to stop it. */
-  readonly allowsStop: (run: Assignment) => boolean
+  readonly allowsStop: (assignment: Assignment) => boolean
   readonly settings: BatchSettings
   readonly clock: Clock
   readonly log: EventLog
@@ -68,8 +68,11 @@
     return this.#drains.size === 0 ? [] : [...this.#options.registry.views()].filter(view => this.isCordoned(view))
   }
 
-  /** Returns the calls that are due. A new leader waits until no call of an earlier leader can be in progress. */
-  dueCalls (): MaintenanceCall[] {
+  /**
+   * Cordons the next VMs, and returns the calls that are due, which count as pending from then on. A new leader waits
+   * until no call of an earlier leader can be in progress.
+   */
+  startDueCalls (): MaintenanceCall[] {
     const nowMs = this.#options.clock.monotonicMs()
     if (this.#isFenced || nowMs - this.#termStartedAtMs < this.#options.settings.orderLeaseMs) return []
     const calls: MaintenanceCall[] = []
@@ -116,12 +119,14 @@
     }
   }
 
+  /** A VM counts as empty where its worker has no runs, or has not reported in this term. */
   #isReadyForMaintenance (record: WaveRecord, vmId: string, drain: VmDrain, nowMs: number): boolean {
     const view = [...this.#options.registry.views()].find(candidate => candidate.latest.vmId === vmId)
     const runs = view === undefined ? [] : [...this.#options.state.runsOf(view.latest.workerId)]
     if (runs.length === 0) return true
     // A late wave is better than exceeding the disruption budget of a lasting step.
-    return nowMs - drain.cordonedAtMs >= this.#maxDrainMs(record) && runs.every(run => this.#options.allowsStop(run))
+    return nowMs - drain.cordonedAtMs >= this.#maxDrainMs(record) &&
+      runs.every(assignment => this.#options.allowsStop(assignment))
   }
 
   /** Longest wait for the runs of one VM: the remaining time of the wave, divided among the remaining rounds of VMs. */
--- a/packages/batch/src/operation-handler.ts
+++ b/packages/batch/src/operation-handler.ts
@@ -67,7 +67,7 @@
       organisation,
       acceptedWallMs: this.#options.clock.wallMs()
     }, outcome => {
-      this.#options.log.info('job submitted', {
+      this.#options.log.info('job submission settled', {
         jobId,
         queue: queue.name,
         organisation,
@@ -86,7 +86,7 @@
     if (job === undefined) return this.#refuse(requestId, unknownJob(resolved.jobId))
     if (job.state !== 'open') return this.#accept(requestId)
     this.#options.propose({ kind: 'cancel_job', jobId: resolved.jobId }, outcome => {
-      this.#options.log.info('job cancelled', { jobId: resolved.jobId, outcome: outcome.kind })
+      this.#options.log.info('job cancellation settled', { jobId: resolved.jobId, outcome: outcome.kind })
       this.#answerProposal(requestId, outcome)
     })
   }
@@ -120,7 +120,7 @@
     if (queue === undefined) return { kind: 'unknown_queue', detail: `no queue at ${request.host}${request.path}` }
     const organisation = request.apiKey === undefined ? undefined : directory.organisationOf(request.apiKey)
     if (organisation === undefined && !queue.isAnonymous) {
-      return { kind: 'unknown_key', detail: `the key of the request is not in configuration ${directory.document.version}` }
+      return { kind: 'unknown_key', detail: `the request has no API key that configuration ${directory.document.version} contains` }
     }
     return { queue, jobId: request.path.slice(queue.pathPrefix.length), organisation: organisation ?? '' }
   }
@@ -131,14 +131,14 @@
     const { directory } = this.#options.state
     if (directory !== null && document.version <= directory.document.version) return this.#accept(requestId)
     this.#options.propose({ kind: 'put_configuration', document }, outcome => {
-      this.#options.log.info('configuration accepted', { version: document.version, outcome: outcome.kind })
+      this.#options.log.info('configuration proposal settled', { version: document.version, outcome: outcome.kind })
       this.#answerProposal(requestId, outcome)
     })
   }
 
   #answerConfiguration (requestId: string): void {
     const { directory } = this.#options.state
-    if (directory === null) return this.#refuse(requestId, { kind: 'no_configuration', detail: 'no configuration yet' })
+    if (directory === null) return this.#refuse(requestId, { kind: 'no_configuration', detail: 'no configuration has been accepted yet' })
     this.#reply(requestId, succeed({ kind: 'configuration', source: directory.document.source }))
   }
 
@@ -159,7 +159,7 @@
 
   #answerProposal (requestId: string, outcome: ProposalOutcome): void {
     if (outcome.kind === 'applied') return this.#accept(requestId)
-    const detail = 'the control leader lost its role before the command was committed'
+    const detail = 'the batch leader lost its role before it could confirm that the command was committed'
     this.#refuse(requestId, outcome.isCertain ? { kind: 'control_unavailable', detail } : { kind: 'outcome_unknown', detail })
   }
 
--- a/packages/batch/src/operations.ts
+++ b/packages/batch/src/operations.ts
@@ -15,6 +15,7 @@
 /** An operation that a front end sends to the leader. */
 export type BatchOperation =
   | { readonly kind: 'submit', readonly request: QueueRequest, readonly spec: Omit<JobSpec, 'jobId'> }
+  /** Answered with the state of the queue where the path names no job. */
   | { readonly kind: 'job_state', readonly request: QueueRequest }
   | { readonly kind: 'cancel', readonly request: QueueRequest }
   | { readonly kind: 'put_configuration', readonly document: QueueDocument }
--- a/packages/batch/src/order-planner.ts
+++ b/packages/batch/src/order-planner.ts
@@ -36,47 +36,52 @@
   }
 
   /** Stops a run and all members of its gang; their tasks wait for workers again afterwards. */
-  stop (run: Assignment): void {
-    for (const member of this.#gangRuns(run)) this.#stopping.set(assignmentKey(member), member)
+  stop (assignment: Assignment): void {
+    for (const member of this.#gangRuns(assignment)) this.#stopping.set(assignmentKey(member), member)
   }
 
-  #gangRuns (run: Assignment): Assignment[] {
-    const context = this.#options.state.findTask(run.taskKey)
-    if (context === undefined || !context.stepSpec.isGang) return [run]
-    const prefix = stepKeyOf(run.taskKey)
+  #gangRuns (assignment: Assignment): Assignment[] {
+    const context = this.#options.state.findTask(assignment.taskKey)
+    if (context === undefined || !context.stepSpec.isGang) return [assignment]
+    const prefix = stepKeyOf(assignment.taskKey)
     return context.step.tasks.flatMap((task, index) => task.active
-      .filter(active => active.run === run.run)
+      .filter(active => active.run === assignment.run)
       .map(active => ({ ...active, taskKey: `${prefix}.${index}` })))
   }
 
   /** Whether a run is being stopped. */
-  isStopping (run: Assignment): boolean {
-    if (this.#stopping.has(assignmentKey(run))) return true
-    const context = this.#options.state.findTask(run.taskKey)
-    return context === undefined || !shouldRun(context, run.run)
+  isStopping (assignment: Assignment): boolean {
+    if (this.#stopping.has(assignmentKey(assignment))) return true
+    const context = this.#options.state.findTask(assignment.taskKey)
+    return context === undefined || !shouldRun(context, assignment.run)
   }
 
   /** Removes the stops of runs that have ended. */
   removeCompletedStops (): void {
-    for (const [key, run] of this.#stopping) {
-      const isKnown = [...this.#options.state.runsOf(run.workerId)].some(active => assignmentKey(active) === key)
+    for (const [key, assignment] of this.#stopping) {
+      const isKnown = [...this.#options.state.runsOf(assignment.workerId)].some(active => assignmentKey(active) === key)
       if (!isKnown) this.#stopping.delete(key)
     }
   }
 
   /** Whether any run may have reached this incarnation of the worker; runs without a sent start order have not. */
   mayHoldRuns (view: WorkerView): boolean {
-    return this.#runsOf(view).some(run => !this.#isUnsent(view, run))
+    return this.#runsOf(view).some(assignment => !this.#isUnsent(view, assignment))
   }
 
   /** Runs being stopped that the worker certainly does not have. */
   confirmedAbsentRuns (view: WorkerView): Assignment[] {
-    return this.#runsOf(view).filter(run =>
-      this.isStopping(run) && !isReported(view, run) && (this.#isUnsent(view, run) || this.#isMissing(view, run)))
+    return this.#runsOf(view).filter(assignment => this.isStopping(assignment) && !isReported(view, assignment) &&
+      (this.#isUnsent(view, assignment) || this.#isMissing(view, assignment)))
   }
 
-  /** The orders that answer the latest heartbeat of a worker. */
-  ordersFor (view: WorkerView): Omit<WorkerOrders, 'nextReportMs'> {
+  /**
+   * Takes the orders for the answer to the latest heartbeat of a worker. This records the lease grant and the start
+   * orders as sent, and advances the pace of the fillers by one step, so it is called once for each answer.
+   *
+   * An uncertain lease is not extended, so that it certainly lapses and the runs under it can be freed.
+   */
+  takeOrders (view: WorkerView): Omit<WorkerOrders, 'nextReportMs'> {
     const { state, settings, fencingToken } = this.#options
     const { latest } = view
     const isExtended = view.leaseStatus !== 'uncertain'
@@ -87,39 +92,45 @@
       fencingToken,
       starts: isExtended ? this.#startOrders(view) : [],
       stops: this.#stopOrders(view),
-      paces: this.#pacing.ordersFor(view)
+      paces: this.#pacing.takeOrders(view)
     }
   }
 
   #startOrders (view: WorkerView): StartOrder[] {
     const starts: StartOrder[] = []
-    for (const run of this.#runsOf(view)) {
-      if (this.isStopping(run) || isReported(view, run)) continue
-      if (!this.#isUnsent(view, run) && !this.#isMissing(view, run)) continue
-      const order = this.#createStartOrder(run)
+    for (const assignment of this.#runsOf(view)) {
+      if (this.isStopping(assignment) || isReported(view, assignment)) continue
+      if (!this.#isUnsent(view, assignment) && !this.#isMissing(view, assignment)) continue
+      const order = this.#createStartOrder(assignment)
       if (order === undefined) continue
-      view.startSentAtSequence.set(assignmentKey(run), view.latest.sequence)
+      view.startSentAtSequence.set(assignmentKey(assignment), view.latest.sequence)
       starts.push(order)
     }
     return starts
   }
 
-  #createStartOrder (run: Assignment): StartOrder | undefined {
+  /**
+   * Creates a start order; undefined where the run has no valid ticket, and then it is stopped so that its task waits
+   * again.
+   */
+  #createStartOrder (assignment: Assignment): StartOrder | undefined {
     const { state, tickets } = this.#options
-    const context = state.findTask(run.taskKey)
+    const context = state.findTask(assignment.taskKey)
     if (context === undefined) return undefined
     const { job, task } = context
-    const order = { taskKey: run.taskKey, run: run.run, payload: job.spec.payload, checkpoint: task.checkpoint }
+    const order = {
+      taskKey: assignment.taskKey, run: assignment.run, payload: job.spec.payload, checkpoint: task.checkpoint
+    }
     if (state.directory?.at(job.queueAddress)?.advice === undefined) return order
-    const key = stepKeyOf(run.taskKey)
-    const ticket = tickets.ticketFor(key, run.workerId, run.incarnation)
+    const key = stepKeyOf(assignment.taskKey)
+    const ticket = tickets.ticketFor(key, assignment.workerId, assignment.incarnation)
     if (ticket !== undefined) return { ...order, ticket }
-    this.stop(run)
+    this.stop(assignment)
     return undefined
   }
 
   #stopOrders (view: WorkerView): StopOrder[] {
-    const known = new Map(this.#runsOf(view).map(run => [taskRunKey(run), run]))
+    const known = new Map(this.#runsOf(view).map(assignment => [taskRunKey(assignment), assignment]))
     const stops: StopOrder[] = []
     for (const { taskKey, run } of view.latest.running) {
       const active = known.get(taskRunKey({ taskKey, run }))
@@ -130,20 +141,26 @@
 
   #runsOf (view: WorkerView): Assignment[] {
     const { workerId, incarnation } = view.latest
-    return [...this.#options.state.runsOf(workerId)].filter(run => run.incarnation === incarnation)
+    return [...this.#options.state.runsOf(workerId)].filter(assignment => assignment.incarnation === incarnation)
   }
 
   /** Whether this is an assignment of this term whose start order was not sent yet. */
-  #isUnsent (view: WorkerView, run: Assignment): boolean {
-    return view.assignedInTerm.has(assignmentKey(run)) && !view.startSentAtSequence.has(assignmentKey(run))
+  #isUnsent (view: WorkerView, assignment: Assignment): boolean {
+    return view.assignedInTerm.has(assignmentKey(assignment)) &&
+      !view.startSentAtSequence.has(assignmentKey(assignment))
   }
 
-  #isMissing (view: WorkerView, run: Assignment): boolean {
+  /**
+   * Whether the start order of a run was sent but the run did not reach the worker. An earlier leader may have sent the
+   * order of a run that is not an assignment of this term. After the grace time this records the order as sent with the
+   * latest report, so that the run counts as missing if a later report lacks it too.
+   */
+  #isMissing (view: WorkerView, assignment: Assignment): boolean {
     // While a worker stops a run, it reports it neither as running nor as ended.
-    if (view.reportedRuns.has(taskRunKey(run))) return false
-    const sentAtSequence = view.startSentAtSequence.get(assignmentKey(run))
+    if (view.reportedRuns.has(taskRunKey(assignment))) return false
+    const sentAtSequence = view.startSentAtSequence.get(assignmentKey(assignment))
     if (sentAtSequence !== undefined) return view.latest.sequence > sentAtSequence
-    if (this.#isInheritedRunGraceOver()) view.startSentAtSequence.set(assignmentKey(run), view.latest.sequence)
+    if (this.#isInheritedRunGraceOver()) view.startSentAtSequence.set(assignmentKey(assignment), view.latest.sequence)
     return false
   }
 
--- a/packages/batch/src/pending-reports.ts
+++ b/packages/batch/src/pending-reports.ts
@@ -42,8 +42,8 @@
     const earlier = this.#active.get(workerId) ?? this.#idle.get(workerId)
     this.#active.delete(workerId)
     this.#idle.delete(workerId)
-    const queue = isIdle ? this.#idle : this.#active
-    queue.set(workerId, pending)
+    const pendingByWorker = isIdle ? this.#idle : this.#active
+    pendingByWorker.set(workerId, pending)
     return earlier
   }
 
--- a/packages/batch/src/queues.ts
+++ b/packages/batch/src/queues.ts
@@ -1,7 +1,10 @@
 /** Configuration of queues, services and organisations: one document, replaced as a whole by a higher version. */
 import { fail, succeed, type Result } from '@comfreygrade/core'
 
-/** Advice service of a queue, which grants the tickets that starts need, and the durations of its calls. */
+/**
+ * Advice service of a queue, which grants the tickets that starts need. `decideMs` and `perWorkerMs`, the durations of
+ * its calls, are accepted and kept, but the scheduler does not use them.
+ */
 export interface AdvicePolicy {
   readonly decideMs: number
   readonly perWorkerMs: number
@@ -15,6 +18,7 @@
   readonly host: string
   readonly pathPrefix: string
   readonly service: string
+  /** Accepted and kept; the scheduler does not use it. */
   readonly timeoutMs: number
   /** Fixed part of the completion objective, added to the part that `slackFactor` gives. */
   readonly targetLatencyMs: number
@@ -28,10 +32,10 @@
   readonly advice?: AdvicePolicy
 }
 
-/** A pool of workers. */
+/** A service is a pool of workers; each queue uses one. */
 export interface ServiceConfiguration {
   readonly name: string
-  /** The pool's VMs are switched off and cause no cost. */
+  /** The pool's VMs are switched off and cause no cost. Accepted and kept; the scheduler does not use it. */
   readonly isStandby: boolean
 }
 
--- a/packages/batch/src/reclaim-policy.ts
+++ b/packages/batch/src/reclaim-policy.ts
@@ -1,13 +1,13 @@
-/** Preemption policy: how much work of running tasks may be discarded for a waiting step, and when. */
+/** Reclaim policy: how much work of running tasks may be discarded for a waiting step, and when. */
 import { coresOf } from './jobs.js'
 import type { BatchSettings } from './settings.js'
 import type { WaitingStep } from './waiting-steps.js'
 
-/** State of the pass that a reclaim decision depends on. */
+/** State of the pass that the decision on a reclaim (a preemption for an urgent step) depends on. */
 export interface ReclaimContext {
   readonly nowWallMs: number
-  /** Time until the step's tasks are expected to fit without preemption. */
-  readonly startsInMs: number
+  /** Time from now until the step's tasks are expected to fit without preemption. */
+  readonly startDelayMs: number
   /** Whether all workers have had time to report, so that capacity that seems to be lacking is really occupied. */
   readonly isFleetKnown: boolean
 }
@@ -28,8 +28,9 @@
 
 /**
  * A guarantee that falls due may discard any amount of work. Other urgent steps preempt where they would otherwise miss
- * their objective, as soon as that is foreseeable, since later stops discard more work. What they may discard is
- * limited to a multiple of their own work.
+ * their objective, as soon as that is foreseeable, since later stops discard more work. A step that cannot meet its
+ * objective even with the most slack does not preempt. What a step may discard is limited to a multiple of the work
+ * that remains from this step on along the critical path, but to no less than `minReclaimBudgetCoreSeconds`.
  */
 export class ObjectiveReclaimPolicy extends ReclaimPolicy {
   readonly #settings: BatchSettings
@@ -44,20 +45,21 @@
   }
 
   override lossBudgetCoreSeconds (step: WaitingStep, context: ReclaimContext): number {
-    const { nowWallMs, startsInMs, isFleetKnown } = context
+    const { nowWallMs, startDelayMs: startsInMs, isFleetKnown } = context
     const { reclaimMs, reclaimLeadMs } = this.#settings
     if (step.isGuaranteed && step.waitedMs >= reclaimMs - reclaimLeadMs) return Infinity
     if (step.priority > 0 || !isFleetKnown || startsInMs <= RECLAIM_LATENCY_MS) return 0
-    const slackMs = step.objectiveWallMs - nowWallMs - step.remainingChainMs
-    const minSlackMs = slackMs - step.stretchSlackMs * (1 - 1 / ESTIMATE_ERROR_FACTOR)
-    const maxSlackMs = slackMs + step.stretchSlackMs * (ESTIMATE_ERROR_FACTOR - 1)
+    const slackMs = step.objectiveWallMs - nowWallMs - step.remainingCriticalPathMs
+    // The objective is taken to scale with the true run time, so part of the slack is as uncertain as the estimate.
+    const minSlackMs = slackMs - step.estimateScaledSlackMs * (1 - 1 / ESTIMATE_ERROR_FACTOR)
+    const maxSlackMs = slackMs + step.estimateScaledSlackMs * (ESTIMATE_ERROR_FACTOR - 1)
     if (maxSlackMs < RECLAIM_LATENCY_MS || startsInMs <= minSlackMs) return 0
     return this.#maxLossCoreSeconds(step)
   }
 
-  #maxLossCoreSeconds ({ spec, taskIndexes, remainingChainMs }: WaitingStep): number {
+  #maxLossCoreSeconds ({ spec, taskIndexes, remainingCriticalPathMs }: WaitingStep): number {
     const { reclaimWorkFactor, minReclaimBudgetCoreSeconds } = this.#settings
-    const ownCoreSeconds = coresOf(spec.shape) * taskIndexes.length * remainingChainMs / 1_000
+    const ownCoreSeconds = coresOf(spec.shape) * taskIndexes.length * remainingCriticalPathMs / 1_000
     return Math.max(minReclaimBudgetCoreSeconds, ownCoreSeconds * reclaimWorkFactor)
   }
 }
--- a/packages/batch/src/reclaim.ts
+++ b/packages/batch/src/reclaim.ts
@@ -1,4 +1,7 @@
-/** Preemption plans: which runs of lower priority to stop for an urgent step, at the least loss of work. */
+/**
+ * Reclaim plans: which runs of lower priority to stop for an urgent step, at the least loss of work. Reclaiming is the
+ * preemption of runs for an urgent step, whether or not a guarantee covers it; the preempted runs are the victims.
+ */
 import type { Assignment } from './commands.js'
 import type { OccupyingRun, WorkerCapacity } from './worker-capacity.js'
 import { placeTasks, asSingleGroup, undoPlacements, type Candidates, type TaskPlacement } from './worker-selection.js'
@@ -14,16 +17,16 @@
 export interface ReclaimPlan {
   readonly runs: readonly Assignment[]
   readonly lostCoreSeconds: number
-  /** Capacity that the plan takes for the step; `undoPlacements` returns it where the plan is not carried out. */
-  readonly placements: readonly TaskPlacement[]
+  /** Placements whose capacity is held for the step; `undoPlacements` releases it where the plan is not carried out. */
+  readonly heldPlacements: readonly TaskPlacement[]
 }
 
 /** Most run time that a checkpointing run loses when it is stopped, including the time to restore it. */
 const MAX_CHECKPOINTED_LOSS_MS = 300
 
 /**
- * Plans which runs to stop for a step. Capacity of runs that are already being stopped counts as free. The capacity
- * that the step will take stays deducted for the rest of the pass.
+ * Plans which runs to stop for a step. Capacity of runs that are already being stopped counts as free. No task is
+ * assigned yet, but the capacity that the step will take is held for the rest of the pass.
  *
  * @returns undefined where no preemption frees enough capacity
  * @example
@@ -35,13 +38,14 @@
 }
 
 /**
- * Takes free capacity, and capacity of runs that are being stopped, for a step, without further preemption.
+ * Holds free capacity, and capacity of runs that are being stopped, for a step for the rest of the pass. No further run
+ * is preempted, and no task is assigned yet.
  *
  * @returns whether it is enough for all waiting tasks
  * @example
- * if (placeOnFreedCapacity(step, candidates)) return
+ * if (holdFreedCapacity(step, candidates)) return
  */
-export function placeOnFreedCapacity (step: WaitingStep, candidates: Candidates): boolean {
+export function holdFreedCapacity (step: WaitingStep, candidates: Candidates): boolean {
   return withStoppingRunsFreed(candidates, () => placeWithoutVictims(step, candidates)) !== undefined
 }
 
@@ -55,7 +59,7 @@
 
 function placeWithoutVictims (step: WaitingStep, candidates: Candidates): ReclaimPlan | undefined {
   const placements = placeTasks(step, candidates)
-  if (placements.length === step.taskIndexes.length) return { runs: [], lostCoreSeconds: 0, placements }
+  if (placements.length === step.taskIndexes.length) return { runs: [], lostCoreSeconds: 0, heldPlacements: placements }
   undoPlacements(step, placements)
   return undefined
 }
@@ -73,7 +77,11 @@
   setPreempted(victims, true)
   const placements = placeTasks(step, asSingleGroup(group))
   setPreempted(victims, false)
-  return { runs: victims.map(({ run }) => run.assignment), lostCoreSeconds: totalLoss(victims), placements }
+  return {
+    runs: victims.map(({ run }) => run.assignment),
+    lostCoreSeconds: totalLoss(victims),
+    heldPlacements: placements
+  }
 }
 
 /** Places the tasks one by one, each on the worker where preemption loses the least work. */
@@ -85,6 +93,7 @@
     if (next === undefined) break
     setPreempted(next.victims, true)
     victims.push(...next.victims)
+    // This trial checks free capacity only. The key is empty, so that it does not count towards the step's task limit.
     next.worker.place('', step.spec)
     placed.push(next.worker)
   }
--- a/packages/batch/src/report-handler.ts
+++ b/packages/batch/src/report-handler.ts
@@ -60,13 +60,16 @@
     const { view } = outcome
     if (outcome.isNew) this.#options.requestPass()
     this.#checkLease(view)
-    if (view.leaseStatus !== 'uncertain' && view.isConfirmed) this.#recordEnds(report)
+    if (view.leaseStatus !== 'uncertain' && view.isTimelinessConfirmed) this.#proposeEnds(report)
     this.#releaseAbsentRuns(view)
     const earlier = this.#pendingReports.add({ requestId, view, receivedAtMs: nowMs }, this.#isIdle(view))
     if (earlier !== undefined) this.#options.reply(earlier.requestId, undefined)
   }
 
-  /** Runs that ended before a lapse of the lease do not count, so all runs are freed before any end is recorded. */
+  /**
+   * Ends from before a lapse of the lease do not count, so all runs are freed before any end is recorded. While the
+   * lease is uncertain, nothing is freed: it is not extended, so a later report shows that it has held or lapsed.
+   */
   #checkLease (view: WorkerView): void {
     if (view.leaseStatus === 'held') return
     const hasRuns = this.#options.orders.mayHoldRuns(view)
@@ -75,13 +78,13 @@
     if (hasRuns) this.#handleWorkerGone(view.latest, 'lease lapsed', view)
   }
 
-  #recordEnds (report: WorkerReport): void {
+  #proposeEnds (report: WorkerReport): void {
     const { workerId, incarnation } = report
     const life = { workerId, incarnation }
     const lastSequence = this.#options.state.lastEndSequence(life)
     const ends = report.ends.filter(end => end.sequence > lastSequence)
     if (ends.length === 0) return
-    for (const end of ends) this.#options.registry.recordEnd(report, end)
+    for (const end of ends) this.#options.registry.updateHealth(report, end)
     this.#proposeFor(workerId, { kind: 'record_ends', life, ends }, () => {
       for (const end of ends) this.#handleRecordedEnd(end, life)
       this.#options.requestPass()
@@ -118,7 +121,7 @@
     })
   }
 
-  /** Handles the message of a worker that it has left. */
+  /** Handles a worker's message that it has left for good. */
   handleWorkerLeft (requestId: string, workerId: string): void {
     const view = this.#options.registry.view(workerId)
     this.#options.reply(requestId, undefined)
@@ -153,7 +156,7 @@
   /** Answers the reports that have waited long enough. */
   answerDueReports (): void {
     for (const { requestId, view } of this.#pendingReports.takeDue()) {
-      const orders = { ...this.#options.orders.ordersFor(view), nextReportMs: this.#nextReportMs(view) }
+      const orders = { ...this.#options.orders.takeOrders(view), nextReportMs: this.#nextReportMs(view) }
       this.#options.reply(requestId, orders)
     }
   }
@@ -181,7 +184,7 @@
     for (const jobId of this.#loggedJobs) if (!isKnown(jobId)) this.#loggedJobs.delete(jobId)
   }
 
-  /** Called when the command that assigns runs to the worker is settled. */
+  /** Lets the worker's report be answered once the command that assigns runs to the worker is settled. */
   finishAssignment (workerId: string): void {
     this.adjustCommandsInFlight(workerId, -1)
     this.#pendingReports.wake(workerId)
--- a/packages/batch/src/reservation.ts
+++ b/packages/batch/src/reservation.ts
@@ -1,28 +1,32 @@
-/** Capacity reserved for steps that do not fit yet, so that smaller steps do not starve them (EASY backfilling). */
+/**
+ * Capacity reserved for steps that do not fit yet, so that smaller steps do not starve them. Other steps backfill
+ * the reserved capacity until it is needed, as in EASY backfilling but with several reservations.
+ */
 import type { Candidates } from './worker-selection.js'
 import type { WorkerCapacity } from './worker-capacity.js'
 import type { WaitingStep } from './waiting-steps.js'
 
 interface ExpectedStart {
   readonly worker: WorkerCapacity
-  readonly inMs: number
+  /** Time from now until the start. */
+  readonly delayMs: number
 }
 
 /** Workers on which a step's tasks are expected to start, and when. */
 export interface Reservation {
   readonly starts: readonly ExpectedStart[]
   /** Time from now until all tasks are expected to fit; `Infinity` where that is not expected. */
-  readonly inMs: number
+  readonly delayMs: number
 }
 
 /** Finds the workers on which the waiting tasks are expected to fit first; a gang stays within one group. */
 function findReservation (step: WaitingStep, { groups }: Candidates): Reservation {
   const taskCount = step.taskIndexes.length
-  let best: Reservation = { starts: [], inMs: Infinity }
+  let best: Reservation = { starts: [], delayMs: Infinity }
   for (const group of groups) {
     const starts = earliestStarts(step, taskCount, group)
-    const inMs = starts.length < taskCount ? Infinity : starts.at(-1)?.inMs ?? Infinity
-    if (inMs < best.inMs) best = { starts, inMs }
+    const delayMs = starts.length < taskCount ? Infinity : starts.at(-1)?.delayMs ?? Infinity
+    if (delayMs < best.delayMs) best = { starts, delayMs }
   }
   return best
 }
@@ -45,17 +49,18 @@
 }
 
 /**
- * Applies the reservation. Tasks that are estimated to end before the capacity is needed may use it until then.
+ * Deducts the reservation from its workers; tasks that are estimated to end before the start may still use the
+ * capacity.
  */
-export function reserve ({ spec }: WaitingStep, { starts, inMs }: Reservation): void {
-  for (const start of starts) start.worker.reserve(spec, spec.isGang ? inMs : start.inMs)
+export function reserve ({ spec }: WaitingStep, { starts, delayMs }: Reservation): void {
+  for (const start of starts) start.worker.reserve(spec, spec.isGang ? delayMs : start.delayMs)
 }
 
 function earliestStarts (step: WaitingStep, taskCount: number, workers: readonly WorkerCapacity[]): ExpectedStart[] {
   const limit = step.spec.maxTasksPerWorker
   const perWorker = limit > 0 ? Math.min(limit, taskCount) : taskCount
   return workers
-    .flatMap(worker => worker.expectedStartTimes(step.spec, perWorker).map(inMs => ({ worker, inMs })))
-    .sort((left, right) => left.inMs - right.inMs)
+    .flatMap(worker => worker.expectedStartTimes(step.spec, perWorker).map(delayMs => ({ worker, delayMs })))
+    .sort((left, right) => left.delayMs - right.delayMs)
     .slice(0, taskCount)
 }
--- a/packages/batch/src/scheduler.ts
+++ b/packages/batch/src/scheduler.ts
@@ -1,4 +1,7 @@
-/** Scheduling passes: which waiting tasks start on which workers, and which runs are preempted for urgent steps. */
+/**
+ * Scheduling passes: which waiting tasks start on which workers, and which runs are preempted (reclaims) for urgent
+ * steps.
+ */
 import type { Clock } from '@comfreygrade/core'
 import type { BatchState } from './batch-state.js'
 import type { Assignment } from './commands.js'
@@ -9,7 +12,7 @@
 import { couldHold, listOccupyingRuns, peakUtilisation, WorkerCapacity } from './worker-capacity.js'
 import { taskKey } from './jobs.js'
 import type { SchedulingOrder } from './scheduling-order.js'
-import { placeOnFreedCapacity, planReclaim, type ReclaimPlan } from './reclaim.js'
+import { holdFreedCapacity, planReclaim, type ReclaimPlan } from './reclaim.js'
 import { ObjectiveReclaimPolicy, type ReclaimPolicy } from './reclaim-policy.js'
 import { LazyReservation, reserve } from './reservation.js'
 import type { BatchSettings } from './settings.js'
@@ -21,15 +24,16 @@
   readonly views: Iterable<WorkerView>
   /** Whether a worker may get new runs. */
   readonly isSchedulable: (view: WorkerView) => boolean
-  readonly isStopping: (run: Assignment) => boolean
+  readonly isStopping: (assignment: Assignment) => boolean
   /** Workers with a valid ticket for a step; undefined while there is none. */
   readonly permittedWorkers: (key: string) => ReadonlySet<string> | undefined
 }
 
 /** A run that is preempted for an urgent step. */
 export interface Reclaim {
-  readonly run: Assignment
+  readonly assignment: Assignment
   readonly forStepKey: string
+  /** Work that the whole plan for the step discards, not only this run. */
   readonly lostCoreSeconds: number
 }
 
@@ -46,25 +50,29 @@
   readonly workers: readonly WorkerCapacity[]
   readonly nowWallMs: number
   readonly isFleetKnown: boolean
+  /** Longest wait for a better rack; unlimited while the fleet is busy. */
   readonly maxRackWaitMs: number
   readonly assignments: Assignment[]
   readonly reclaims: Reclaim[]
   readonly stepsNeedingTickets: WaitingStep[]
   reservationCount: number
-  /** Steps that did not fit completely. */
-  failedAttempts: number
+  /** Number of steps that did not fit completely. */
+  unplacedStepCount: number
 }
 
 /** A pass ends after this many steps that did not fit, so that it stays short with a long queue. */
-const MAX_FAILED_ATTEMPTS_PER_PASS = 64
-/** Longest time from the stop orders until the step that they free capacity for has started. */
-const RECLAIM_CLAIM_MS = 2_000
+const MAX_UNPLACED_STEPS_PER_PASS = 64
+/**
+ * Time after which a step's claim to the capacity freed for it expires: the longest time from the stop orders until the
+ * step has started.
+ */
+const CLAIM_TIMEOUT_MS = 2_000
 
 /** Decides on starts and preemptions from the replicated state and the leader's view of the workers. */
 export class BatchScheduler {
   readonly #settings: BatchSettings
   readonly #clock: Clock
-  readonly #order: SchedulingOrder
+  readonly #schedulingOrder: SchedulingOrder
   readonly #reclaimPolicy: ReclaimPolicy
   readonly #createdAtMs: number
   /** Steps for which runs were stopped, with the time at which their claim on the freed capacity expires. */
@@ -73,7 +81,7 @@
   constructor (settings: BatchSettings, clock: Clock, order: SchedulingOrder) {
     this.#settings = settings
     this.#clock = clock
-    this.#order = order
+    this.#schedulingOrder = order
     this.#createdAtMs = clock.monotonicMs()
     this.#reclaimPolicy = new ObjectiveReclaimPolicy(settings)
   }
@@ -94,11 +102,11 @@
       reclaims: [],
       stepsNeedingTickets: [],
       reservationCount: 0,
-      failedAttempts: 0
+      unplacedStepCount: 0
     }
     steps.sort((left, right) => this.#compare(left, right, nowWallMs))
     for (const step of steps) {
-      if (pass.failedAttempts >= MAX_FAILED_ATTEMPTS_PER_PASS) break
+      if (pass.unplacedStepCount >= MAX_UNPLACED_STEPS_PER_PASS) break
       this.#placeStep(step, fleet, pass)
     }
     return pass
@@ -107,7 +115,7 @@
   /** Steps for which runs were stopped go first, so that no other step takes the capacity freed for them. */
   #compare (left: WaitingStep, right: WaitingStep, nowWallMs: number): number {
     return Number(this.#claims.has(waitingStepKey(right))) - Number(this.#claims.has(waitingStepKey(left))) ||
-      this.#order.compare(left, right, nowWallMs)
+      this.#schedulingOrder.compare(left, right, nowWallMs)
   }
 
   #removeExpiredClaims (): void {
@@ -138,12 +146,12 @@
   #reclaimOrReserve (step: WaitingStep, candidates: Candidates, pass: Pass): void {
     const reservation = new LazyReservation(step, candidates)
     if (this.#placeAcrossRacks(step, candidates, reservation, pass)) return
-    pass.failedAttempts++
-    if (this.#claims.has(waitingStepKey(step)) && placeOnFreedCapacity(step, candidates)) return
+    pass.unplacedStepCount++
+    if (this.#claims.has(waitingStepKey(step)) && holdFreedCapacity(step, candidates)) return
     const mayReserve = pass.reservationCount < this.#settings.maxReservations
     if (!mayReserve && !this.#reclaimPolicy.mayReclaim(step)) return
     const { nowWallMs, isFleetKnown } = pass
-    const context = { nowWallMs, startsInMs: reservation.value.inMs, isFleetKnown }
+    const context = { nowWallMs, startDelayMs: reservation.value.delayMs, isFleetKnown }
     const budget = this.#reclaimPolicy.lossBudgetCoreSeconds(step, context)
     if (budget > 0 && this.#reclaim(step, candidates, budget, pass)) return
     if (!mayReserve) return
@@ -152,30 +160,33 @@
   }
 
   /**
-   * Places a same-rack gang across racks where it then ends sooner than after the wait for one rack. While much of the
-   * fleet is free the wait is short, so that no gang waits long beside idle workers.
+   * Places a same-rack gang across racks once it has waited for one rack as long as the slowdown would cost, if no rack
+   * is expected to be free within that time. While much of the fleet is free the wait is limited to `maxRackWaitMs`, so
+   * that no gang waits long beside idle workers.
    */
   #placeAcrossRacks (step: WaitingStep, { workers }: Candidates, reservation: LazyReservation, pass: Pass): boolean {
     const { isGang, isSameRack, estimateMs } = step.spec
     if (!isGang || !isSameRack) return false
     const maxWaitMs = Math.min((this.#settings.farFactor - 1) * estimateMs, pass.maxRackWaitMs)
-    if (step.waitedMs <= maxWaitMs || reservation.value.inMs <= maxWaitMs) return false
+    if (step.waitedMs <= maxWaitMs || reservation.value.delayMs <= maxWaitMs) return false
     const placements = placeTasks(step, asSingleGroup(workers))
     this.#assign(step, placements, pass)
     return placements.length > 0
   }
 
-  /** Returns whether the step has its capacity now, some of it after runs have stopped. */
+  /**
+   * Returns whether the capacity for the step is now held; some of it becomes free only when the victims have stopped.
+   */
   #reclaim (step: WaitingStep, candidates: Candidates, budget: number, pass: Pass): boolean {
     const plan = planReclaim(step, candidates) ?? this.#planReclaimAcrossRacks(step, candidates, budget)
     if (plan === undefined) return false
-    const { runs, lostCoreSeconds, placements } = plan
+    const { runs, lostCoreSeconds, heldPlacements } = plan
     if (lostCoreSeconds > budget) {
-      undoPlacements(step, placements)
+      undoPlacements(step, heldPlacements)
       return false
     }
-    if (runs.length > 0) this.#claims.set(waitingStepKey(step), this.#clock.monotonicMs() + RECLAIM_CLAIM_MS)
-    pass.reclaims.push(...runs.map(run => ({ run, forStepKey: waitingStepKey(step), lostCoreSeconds })))
+    if (runs.length > 0) this.#claims.set(waitingStepKey(step), this.#clock.monotonicMs() + CLAIM_TIMEOUT_MS)
+    pass.reclaims.push(...runs.map(assignment => ({ assignment, forStepKey: waitingStepKey(step), lostCoreSeconds })))
     return true
   }
 
--- a/packages/batch/src/scheduling-order.ts
+++ b/packages/batch/src/scheduling-order.ts
@@ -11,21 +11,21 @@
 const USEFUL_OBJECTIVE_FACTOR = 3
 
 /**
- * Earliest objective first within priorities, in three classes: steps that are guaranteed or can still meet their
- * objective, then steps that are late but still useful, then the rest. Under overload this keeps late jobs from making
- * all later jobs late as well.
+ * Earliest objective first within priorities, in three classes: steps that are guaranteed, lasting or can still meet
+ * their objective, then steps that are late but still useful, then the rest. Under overload this keeps late jobs from
+ * making all later jobs late as well.
  */
 export class ObjectiveSchedulingOrder extends SchedulingOrder {
   override compare (left: WaitingStep, right: WaitingStep, nowWallMs: number): number {
-    return urgencyClass(left, nowWallMs) - urgencyClass(right, nowWallMs) ||
+    return latenessClass(left, nowWallMs) - latenessClass(right, nowWallMs) ||
       left.priority - right.priority ||
       left.objectiveWallMs - right.objectiveWallMs
   }
 }
 
-function urgencyClass (step: WaitingStep, nowWallMs: number): number {
-  const endsAtMs = nowWallMs + step.remainingChainMs
-  if (endsAtMs <= step.objectiveWallMs || step.spec.isLasting || step.isGuaranteed) return 0
-  const usefulForMs = (step.objectiveWallMs - step.eligibleSinceWallMs) * USEFUL_OBJECTIVE_FACTOR
-  return endsAtMs <= step.eligibleSinceWallMs + usefulForMs ? 1 : 2
+function latenessClass (step: WaitingStep, nowWallMs: number): number {
+  const endsAtWallMs = nowWallMs + step.remainingCriticalPathMs
+  if (endsAtWallMs <= step.objectiveWallMs || step.spec.isLasting || step.isGuaranteed) return 0
+  const usefulForMs = (step.objectiveWallMs - step.waitingSinceWallMs) * USEFUL_OBJECTIVE_FACTOR
+  return endsAtWallMs <= step.waitingSinceWallMs + usefulForMs ? 1 : 2
 }
--- a/packages/batch/src/settings.ts
+++ b/packages/batch/src/settings.ts
@@ -1,22 +1,25 @@
 /** Settings of the batch scheduler. */
 
-/** Settings of the leader and its scheduler. */
+/** Settings of the leader and its scheduler. A heartbeat is the message that carries a worker's report. */
 export interface BatchSettings {
   /** Lease that the answer to a heartbeat grants, counted from the sending of the heartbeat. */
   readonly leaseMs: number
   /** Largest relative rate error of a worker's clock. */
   readonly clockRateBound: number
-  /** Added to a lease before its runs count as ended, since the heartbeat took time to arrive. */
+  /**
+   * Allowance for the travel time of heartbeats, added to a lease before its runs count as ended. The leader counts the
+   * lease from the arrival of a heartbeat, the worker from its sending.
+   */
   readonly leaseMarginMs: number
   /** Workers discard an answer that comes later than this after their heartbeat. */
   readonly reportTimeoutMs: number
-  /** Longest wait of an answer for commands about the worker; below `reportTimeoutMs`. */
+  /** Longest time for which the answer to a heartbeat waits for commands about the worker; below `reportTimeoutMs`. */
   readonly maxReportHoldMs: number
-  /** Longest wait of an answer for a scheduling pass that is due. */
+  /** Longest time for which the answer waits for a scheduling pass that is due. */
   readonly maxPassHoldMs: number
-  /** Longest wait of an answer to an idle worker for new runs; below `reportTimeoutMs`. */
+  /** Longest time for which the answer to an idle worker waits for new runs; below `reportTimeoutMs`. */
   readonly maxIdleHoldMs: number
-  /** Time from an answer until the worker's next heartbeat. */
+  /** Time from the answer until the worker's next heartbeat. */
   readonly nextReportMs: number
   /** The same for an idle worker, whose heartbeat is then held until there are runs for it. */
   readonly nextIdleReportMs: number
@@ -32,9 +35,12 @@
   readonly reclaimLeadMs: number
   /** Time from the start of a term until all workers have reported; before that, capacity may seem to be lacking. */
   readonly fleetDiscoveryMs: number
-  /** Work that may be discarded for an urgent step, as a multiple of the step's own work. */
+  /**
+   * Work that may be discarded for an urgent step, as a multiple of the estimated work that remains from this step on
+   * along the critical path.
+   */
   readonly reclaimWorkFactor: number
-  /** Core-seconds that may be discarded for any urgent step, however small its own work. */
+  /** Core-seconds that may be discarded for any urgent step, however little work remains for it. */
   readonly minReclaimBudgetCoreSeconds: number
   /** Slowdown of a same-rack gang that is spread over several racks. */
   readonly farFactor: number
@@ -48,11 +54,15 @@
   readonly dueMarginMs: number
   /** A leaving worker may live this much longer than it reports; runs whose work would be lost stay accordingly. */
   readonly leavingGraceMs: number
-  /** A run without progress for this long has stalled and is evicted. */
+  /**
+   * A run without progress for this long, plus allowances for its estimate and for gangs, has stalled and is evicted.
+   */
   readonly stalledAfterMs: number
-  /** A worker with a run without progress for this long gets no new runs. */
+  /**
+   * A run without progress for this long, plus an allowance for its estimate, is suspect: its worker gets no new runs.
+   */
   readonly suspectAfterMs: number
-  /** Longest time for which gang members wait for one another. */
+  /** Longest time for which gang members wait for one another; a gang's runs count as stalled this much later. */
   readonly gangWaitMs: number
   /** Time from the start of a term after which no maintenance call of an earlier leader is in progress. */
   readonly orderLeaseMs: number
--- a/packages/batch/src/waiting-steps.ts
+++ b/packages/batch/src/waiting-steps.ts
@@ -17,18 +17,23 @@
   readonly taskIndexes: readonly number[]
   /** Next run number of a task; the same for all members of a gang. */
   readonly nextRunOf: (index: number) => number
-  /** Workers on which a task failed recently. */
+  /** Workers of the task's latest recorded failures. */
   readonly failedOn: (index: number) => readonly string[]
+  /** Priority of the queue; a step of priority 0 is urgent. */
   readonly priority: number
   /** Unix time from which the objective counts: acceptance of the job, or the time its occurrence was due. */
-  readonly eligibleSinceWallMs: number
+  readonly waitingSinceWallMs: number
+  /** Time since `waitingSinceWallMs`, also where the step itself became ready only later. */
   readonly waitedMs: number
   /** Unix time of the completion objective. */
   readonly objectiveWallMs: number
   /** Estimated time from the start of this step to the end of the job, along the critical path. */
-  readonly remainingChainMs: number
-  /** Slack that `slackFactor` gives: a multiple of the estimated run time, and so as inaccurate as the estimate. */
-  readonly stretchSlackMs: number
+  readonly remainingCriticalPathMs: number
+  /**
+   * Part of the time until the objective that is a multiple of the job's estimated critical path, less the critical
+   * path itself; as inaccurate as the estimate.
+   */
+  readonly estimateScaledSlackMs: number
   readonly hasAdvicePolicy: boolean
   /** Whether the step is urgent and its organisation's guarantee covers it. */
   readonly isGuaranteed: boolean
@@ -80,8 +85,8 @@
     const taskIndexes = listWaitingTasks(record, stepIndex, spec)
     if (taskIndexes.length === 0) return
     const eligibleSinceWallMs = Math.max(job.acceptedWallMs, occurrenceDueMs(job.spec, occurrence))
-    const chainMs = longestChainMs(job.spec)
-    const stretchMs = chainMs * (queue?.slackFactor ?? DEFAULT_SLACK_FACTOR)
+    const jobCriticalPathMs = criticalPathMs(job.spec)
+    const estimateScaledObjectiveMs = jobCriticalPathMs * (queue?.slackFactor ?? DEFAULT_SLACK_FACTOR)
     const gangRun = Math.max(0, ...step.tasks.map(task => task.lastRun)) + 1
     waiting.push({
       job,
@@ -92,11 +97,11 @@
       nextRunOf: index => spec.isGang ? gangRun : (step.tasks[index]?.lastRun ?? 0) + 1,
       failedOn: index => step.tasks[index]?.failedOn ?? [],
       priority: queue?.priority ?? LOWEST_PRIORITY,
-      eligibleSinceWallMs,
+      waitingSinceWallMs: eligibleSinceWallMs,
       waitedMs: nowWallMs - eligibleSinceWallMs,
-      objectiveWallMs: eligibleSinceWallMs + stretchMs + (queue?.targetLatencyMs ?? 0),
-      remainingChainMs: remainingChainFromMs(job.spec, stepIndex),
-      stretchSlackMs: stretchMs - chainMs,
+      objectiveWallMs: eligibleSinceWallMs + estimateScaledObjectiveMs + (queue?.targetLatencyMs ?? 0),
+      remainingCriticalPathMs: criticalPathFromMs(job.spec, stepIndex),
+      estimateScaledSlackMs: estimateScaledObjectiveMs - jobCriticalPathMs,
       hasAdvicePolicy: queue?.advice !== undefined,
       isGuaranteed
     })
@@ -116,13 +121,13 @@
 }
 
 /** Estimated time of the critical path: the longest chain of dependent steps. */
-export function longestChainMs (spec: JobSpec): number {
-  return Math.max(0, ...spec.steps.map((_step, index) => remainingChainFromMs(spec, index)))
+export function criticalPathMs (spec: JobSpec): number {
+  return Math.max(0, ...spec.steps.map((_step, index) => criticalPathFromMs(spec, index)))
 }
 
-function remainingChainFromMs (spec: JobSpec, stepIndex: number): number {
+function criticalPathFromMs (spec: JobSpec, stepIndex: number): number {
   const own = spec.steps[stepIndex]?.estimateMs ?? 0
   const followers = spec.steps.map((step, index) =>
-    index > stepIndex && step.dependsOn.includes(stepIndex) ? remainingChainFromMs(spec, index) : 0)
+    index > stepIndex && step.dependsOn.includes(stepIndex) ? criticalPathFromMs(spec, index) : 0)
   return own + Math.max(0, ...followers)
 }
--- a/packages/batch/src/worker-capacity.ts
+++ b/packages/batch/src/worker-capacity.ts
@@ -10,7 +10,7 @@
   readonly spec: StepSpec
   readonly priority: number
   readonly isStopping: boolean
-  /** Time since the run was first reported. */
+  /** Time since the run was first reported to this leader. */
   readonly elapsedMs: number
   /** Estimated time until its end. */
   readonly remainingMs: number
@@ -28,7 +28,7 @@
   readonly runs: readonly OccupyingRun[]
   readonly #free: MutableShape
   /** Time from now until the first reservation starts; `Infinity` without one. */
-  #reservedInMs = Infinity
+  #reservedAfterMs = Infinity
   /** Capacity expected to be free at that time, less the reservations; undefined without one. */
   #unreserved: MutableShape | undefined
   /** For limits of tasks per worker. */
@@ -60,7 +60,8 @@
   /** Whether one more task fits now and delays no reservation. */
   admits (spec: StepSpec): boolean {
     if (!canHold(this.#free, spec)) return false
-    return this.#unreserved === undefined || spec.estimateMs <= this.#reservedInMs || canHold(this.#unreserved, spec)
+    return this.#unreserved === undefined || spec.estimateMs <= this.#reservedAfterMs ||
+      canHold(this.#unreserved, spec)
   }
 
   /** Number of tasks of a step on this worker. */
@@ -71,14 +72,14 @@
   /** Deducts the capacity of one task of a step. */
   place (key: string, spec: StepSpec): void {
     addTask(this.#free, spec, -1)
-    if (this.#unreserved !== undefined && spec.estimateMs > this.#reservedInMs) addTask(this.#unreserved, spec, -1)
+    if (this.#unreserved !== undefined && spec.estimateMs > this.#reservedAfterMs) addTask(this.#unreserved, spec, -1)
     this.#count(key, 1)
   }
 
-  /** Returns the capacity of one task of a step. */
+  /** Releases the capacity of one task of a step. */
   unplace (key: string, spec: StepSpec): void {
     addTask(this.#free, spec, 1)
-    if (this.#unreserved !== undefined && spec.estimateMs > this.#reservedInMs) addTask(this.#unreserved, spec, 1)
+    if (this.#unreserved !== undefined && spec.estimateMs > this.#reservedAfterMs) addTask(this.#unreserved, spec, 1)
     this.#count(key, -1)
   }
 
@@ -87,10 +88,10 @@
     addTask(this.#free, run.spec, isPreempted ? 1 : -1)
   }
 
-  /** Reserves capacity for a task that is expected to start in `inMs`. */
-  reserve (spec: StepSpec, inMs: number): void {
-    if (this.#unreserved === undefined || inMs < this.#reservedInMs) this.#reservedInMs = inMs
-    this.#unreserved ??= this.#expectedFreeIn(inMs)
+  /** Reserves capacity for a task that is expected to start after `delayMs`. */
+  reserve (spec: StepSpec, delayMs: number): void {
+    if (this.#unreserved === undefined || delayMs < this.#reservedAfterMs) this.#reservedAfterMs = delayMs
+    this.#unreserved ??= this.#expectedFreeAfter(delayMs)
     addTask(this.#unreserved, spec, -1)
   }
 
@@ -99,24 +100,24 @@
     const available = { ...(this.#unreserved ?? this.#free) }
     const ends = [...this.runs].sort((left, right) => left.remainingMs - right.remainingMs)
     const times: number[] = []
-    let inMs = 0
+    let delayMs = 0
     while (times.length < limit) {
       if (canHold(available, spec)) {
         addTask(available, spec, -1)
-        times.push(inMs)
+        times.push(delayMs)
         continue
       }
       const next = ends.shift()
       if (next === undefined) break
-      inMs = Math.max(inMs, next.remainingMs)
+      delayMs = Math.max(delayMs, next.remainingMs)
       addTask(available, next.spec, 1)
     }
     return times
   }
 
-  #expectedFreeIn (inMs: number): MutableShape {
+  #expectedFreeAfter (delayMs: number): MutableShape {
     const available = { ...this.#free }
-    for (const run of this.runs) if (run.remainingMs <= inMs) addTask(available, run.spec, 1)
+    for (const run of this.runs) if (run.remainingMs <= delayMs) addTask(available, run.spec, 1)
     return available
   }
 
@@ -172,7 +173,7 @@
 
 /** Lists the runs that occupy a worker, with their estimated ends. */
 export function listOccupyingRuns (
-  state: BatchState, view: WorkerView, isStopping: (run: Assignment) => boolean, nowMs: number
+  state: BatchState, view: WorkerView, isStopping: (assignment: Assignment) => boolean, nowMs: number
 ): OccupyingRun[] {
   const runs: OccupyingRun[] = []
   for (const assignment of state.runsOf(view.latest.workerId)) {
--- a/packages/batch/src/worker-health.ts
+++ b/packages/batch/src/worker-health.ts
@@ -3,7 +3,10 @@
 import type { RunEnd } from './commands.js'
 import { jobIdOf } from './jobs.js'
 
-/** A worker is quarantined after failures of this many different jobs without a success in between. */
+/**
+ * A worker is quarantined after failures of this many different jobs without a success in between. After its first
+ * quarantine, a single failure without a success in between is enough.
+ */
 const QUARANTINE_FAILED_JOBS = 2
 /** The first quarantine; each further one without a success in between is twice as long. */
 const INITIAL_QUARANTINE_MS = 3_000
@@ -30,8 +33,8 @@
     this.#log = log
   }
 
-  /** Updates the health of a worker after the end of a run. */
-  recordEnd (workerId: string, end: RunEnd): void {
+  /** Updates the health of a worker after it reported the end of a run. */
+  update (workerId: string, end: RunEnd): void {
     if (end.reason === 'done') this.#byWorker.delete(workerId)
     if (end.reason !== 'failed') return
     const health = this.#byWorker.get(workerId) ?? createHealth()
--- a/packages/batch/src/worker-messages.ts
+++ b/packages/batch/src/worker-messages.ts
@@ -1,4 +1,4 @@
-/** Reports that workers send with their heartbeats, and the orders in the answers. */
+/** Reports that workers send as their heartbeats, and the orders in the answers. */
 import type { TaskShape } from './jobs.js'
 import type { RunEnd, WorkerIncarnation } from './commands.js'
 
@@ -12,11 +12,14 @@
   readonly checkpoint: string
   /** Progress; of a lasting task, 100 once it is available. */
   readonly percent: number
-  /** For a lasting task, the tail latency of its users in milliseconds; for any other, the processor time in use. */
+  /**
+   * For a lasting task, the tail latency of its users in milliseconds; for any other, the processor time in use, which
+   * the scheduler does not read.
+   */
   readonly usage: number
 }
 
-/** The report that a worker sends with each heartbeat. */
+/** The report that a worker sends with each heartbeat; each heartbeat is one report. */
 export interface WorkerReport extends WorkerIncarnation {
   readonly service: string
   readonly address: string
--- a/packages/batch/src/worker-registry.ts
+++ b/packages/batch/src/worker-registry.ts
@@ -11,7 +11,11 @@
 import { WorkerLocations } from './worker-locations.js'
 import { WorkerView } from './worker-view.js'
 
-/** How a report was received; `replaced` has the views of earlier incarnations that it replaces. */
+/**
+ * How a report was received; `replaced` has the views of earlier incarnations that it replaces. Reports are ignored
+ * from an incarnation that a later one has replaced (`earlier_life`) or that has left for good (`left`), and where they
+ * are out of order or came later than the report timeout (`late`).
+ */
 export type ReportOutcome =
   | { readonly kind: 'ignored', readonly reason: 'earlier_life' | 'late' | 'left', readonly replaced: readonly WorkerView[] }
   | {
@@ -21,9 +25,11 @@
     readonly replaced: readonly WorkerView[]
   }
 
-/** Longer than a heartbeat can be delayed in the network. */
+/** Time for which a worker that has gone is remembered; longer than a heartbeat can be delayed in the network. */
 const STALE_WORKER_RETENTION_MS = 300_000
-/** Share of the estimated run time within which even a slow worker makes one percent of progress. */
+/**
+ * Share of the estimated run time after which a run is suspect; a slow worker makes one percent of progress within it.
+ */
 const SUSPECT_TIMEOUT_ESTIMATE_SHARE = 0.05
 
 /** An incarnation that has left for good. */
@@ -152,24 +158,28 @@
     const silentMs = this.#clock.monotonicMs() - view.reportedAtMs
     return view.latest.state === 'active' && silentMs < this.#settings.unresponsiveAfterMs &&
       view.leaseStatus === 'held' && !this.#health.isQuarantined(view.latest.workerId) &&
-      !this.hasStalledRun(view)
+      !this.hasSuspectRun(view)
   }
 
-  /** Whether a run on the worker makes no progress; other runs on it may do the same. */
-  hasStalledRun (view: WorkerView): boolean {
+  /**
+   * Whether a run on the worker is suspect: it has made some progress but none for a while. Other runs on the worker
+   * may stall too. Runs at 0 or full progress do not count.
+   */
+  hasSuspectRun (view: WorkerView): boolean {
     const changedBeforeMs = this.#clock.monotonicMs() - this.#settings.suspectAfterMs
     return view.runsUnchangedSince(changedBeforeMs).some(({ taskKey, percent, lastChangeMs }) =>
-      percent > 0 && percent < FULL_PROGRESS_PERCENT && lastChangeMs <= changedBeforeMs - this.#stallMarginMs(taskKey))
+      percent > 0 && percent < FULL_PROGRESS_PERCENT &&
+      lastChangeMs <= changedBeforeMs - this.#suspectMarginMs(taskKey))
   }
 
   /** The percentage of a long run changes less often. */
-  #stallMarginMs (taskKey: string): number {
+  #suspectMarginMs (taskKey: string): number {
     return (this.#state.findTask(taskKey)?.stepSpec.estimateMs ?? 0) * SUSPECT_TIMEOUT_ESTIMATE_SHARE
   }
 
-  /** Updates the health of a worker after the end of a run. */
-  recordEnd (worker: WorkerIncarnation, end: RunEnd): void {
-    this.#health.recordEnd(worker.workerId, end)
+  /** Updates the health of a worker after it reported the end of a run. */
+  updateHealth (worker: WorkerIncarnation, end: RunEnd): void {
+    this.#health.update(worker.workerId, end)
   }
 
   /** Workers to request tickets for. */
@@ -187,10 +197,10 @@
     const nowMs = this.#clock.monotonicMs()
     const { leaseMs, clockRateBound, leaseMarginMs } = this.#settings
     const timeoutMs = leaseMs * (1 + clockRateBound) + leaseMarginMs
-    const silent = [...this.#views.values()]
+    const expired = [...this.#views.values()]
       .filter(view => nowMs - view.reportedAtMs > timeoutMs && this.#state.hasRuns(view.latest.workerId))
       .map(view => incarnationOf(view.latest))
-    return nowMs - this.#termStartedAtMs <= timeoutMs ? silent : [...silent, ...this.#unreportedWorkers()]
+    return nowMs - this.#termStartedAtMs <= timeoutMs ? expired : [...expired, ...this.#unreportedWorkers()]
   }
 
   /**
--- a/packages/batch/src/worker-selection.ts
+++ b/packages/batch/src/worker-selection.ts
@@ -16,7 +16,7 @@
   readonly groups: ReadonlyArray<readonly WorkerCapacity[]>
 }
 
-/** Longest wait for a better rack while other workers are idle, and for crashed workers to come back. */
+/** Longest wait for a better rack while the fleet is not busy, and for crashed workers to come back. */
 export const MAX_RACK_WAIT_MS = 2_000
 
 /**
@@ -84,7 +84,7 @@
   return racks
 }
 
-/** Returns the capacity of placements that are not used. */
+/** Releases the capacity of placements that are not used. */
 export function undoPlacements (step: WaitingStep, placements: readonly TaskPlacement[]): void {
   for (const { worker } of placements) worker.unplace(waitingStepKey(step), step.spec)
 }
@@ -105,7 +105,10 @@
   return best
 }
 
-/** A run away from its data takes several times as long, so it waits for the data's rack for up to one run time. */
+/**
+ * A run away from its data takes several times as long, so its task waits for the data's rack, but no longer than the
+ * estimated run time or `maxRackWaitMs`, whichever is shorter.
+ */
 function preferDataRack (
   step: WaitingStep, eligible: readonly WorkerCapacity[], maxRackWaitMs: number
 ): readonly WorkerCapacity[] {
@@ -144,7 +147,10 @@
   return best
 }
 
-/** Added to the score of a worker whose rack does not hold the step's data. */
+/**
+ * Added to the score of a worker whose rack does not hold the step's data. The score for free capacity is at most 4, so
+ * a penalty outweighs any difference in free capacity.
+ */
 const REMOTE_DATA_PENALTY = 10
 /** Added for a worker on which the task failed before, so that a faulty worker does not use up the task's attempts. */
 const EARLIER_FAILURE_PENALTY = 100
--- a/packages/batch/src/worker-view.ts
+++ b/packages/batch/src/worker-view.ts
@@ -6,7 +6,15 @@
 import type { BatchSettings } from './settings.js'
 
 /** Whether the worker's lease has held without a gap, so that the ends that it reports count. */
-export type LeaseStatus = 'held' | 'uncertain' | 'lapsed'
+export type LeaseStatus =
+  /**
+   * The lease has held up to the latest report; also where this leader has granted none yet or since the last reset.
+   */
+  | 'held'
+  /** The last grant may not have reached the worker, and the lease may have ended since. */
+  | 'uncertain'
+  /** Every lease that this leader or an earlier one can have granted had ended when the report was sent. */
+  | 'lapsed'
 
 /** Progress of a run, to distinguish stalled runs from slow ones. */
 export interface RunProgress {
@@ -42,7 +50,7 @@
   #clockOffsetMs: number
   #offsetAtMs: number
   /** Whether a second heartbeat has shown that the first one was not a delayed one. */
-  #isConfirmed = false
+  #isTimelinessConfirmed = false
   #lastGrantWorkerMs: number | undefined
   #minLeaseEndWorkerMs = -Infinity
   #maxLeaseEndWorkerMs = -Infinity
@@ -59,14 +67,15 @@
   }
 
   /**
-   * Accepts a report if it is the newest and came in time; the worker would discard the answer to a late one.
+   * Accepts a report if none with a higher sequence number was accepted before and it came in time; the worker would
+   * discard the answer to a late one.
    *
    * @returns whether the report was accepted
    */
   accept (report: WorkerReport, nowMs: number): boolean {
     if (report.sequence < this.latest.sequence) return false
     if (this.#latenessMs(report, nowMs) > this.#settings.reportTimeoutMs) return false
-    this.#isConfirmed = true
+    this.#isTimelinessConfirmed = true
     this.#confirmLeaseGrant(report)
     this.#leaseStatus = this.#evaluateLease(report)
     this.latest = report
@@ -85,8 +94,8 @@
   }
 
   /** Whether the latest heartbeat is certainly not one that was delayed in the network. */
-  get isConfirmed (): boolean {
-    return this.#isConfirmed
+  get isTimelinessConfirmed (): boolean {
+    return this.#isTimelinessConfirmed
   }
 
   /** Status of the lease up to the latest heartbeat. */
@@ -100,8 +109,8 @@
     if (this.#lastGrantWorkerMs === undefined || hasContinuingRun) return 'held'
     if (clockMs < this.#minLeaseEndWorkerMs) return 'held'
     // An earlier leader may have extended the lease up to the start of this term.
-    const inheritedEndMs = this.#termStartedAtMs - this.#clockOffsetMs + this.#settings.leaseMs
-    return clockMs > Math.max(this.#maxLeaseEndWorkerMs, inheritedEndMs) ? 'lapsed' : 'uncertain'
+    const inheritedEndWorkerMs = this.#termStartedAtMs - this.#clockOffsetMs + this.#settings.leaseMs
+    return clockMs > Math.max(this.#maxLeaseEndWorkerMs, inheritedEndWorkerMs) ? 'lapsed' : 'uncertain'
   }
 
   /** Records that the answer to the latest heartbeat extends the lease. */
@@ -110,7 +119,7 @@
     this.#maxLeaseEndWorkerMs = Math.max(this.#maxLeaseEndWorkerMs, this.latest.clockMs + leaseMs)
   }
 
-  /** Discards the lease grants from before a lapse. */
+  /** Discards all lease grants, once no run can depend on them any more. */
   resetLease (): void {
     this.#leaseStatus = 'held'
     this.#lastGrantWorkerMs = undefined
@@ -141,12 +150,12 @@
   }
 
   /** Removes a run that has left the worker for good. */
-  removeRun (run: Assignment): void {
-    const key = taskRunKey(run)
+  removeRun (assignment: Assignment): void {
+    const key = taskRunKey(assignment)
     this.reportedRuns.delete(key)
     this.#checkpoints.delete(key)
-    this.startSentAtSequence.delete(assignmentKey(run))
-    this.assignedInTerm.delete(assignmentKey(run))
+    this.startSentAtSequence.delete(assignmentKey(assignment))
+    this.assignedInTerm.delete(assignmentKey(assignment))
   }
 
   /** Runs that have made no progress since the given time. */
@@ -157,9 +166,9 @@
   }
 
   #confirmLeaseGrant (report: WorkerReport): void {
-    const grantedMs = this.#lastGrantWorkerMs
-    if (grantedMs === undefined || report.clockMs - grantedMs >= this.#settings.reportTimeoutMs) return
-    this.#minLeaseEndWorkerMs = grantedMs + this.#settings.leaseMs
+    const grantedAtWorkerMs = this.#lastGrantWorkerMs
+    if (grantedAtWorkerMs === undefined || report.clockMs - grantedAtWorkerMs >= this.#settings.reportTimeoutMs) return
+    this.#minLeaseEndWorkerMs = grantedAtWorkerMs + this.#settings.leaseMs
   }
 
   #updateProgress (report: WorkerReport, nowMs: number): void {
--- a/packages/batch/test/batch-state.test.ts
+++ b/packages/batch/test/batch-state.test.ts
@@ -25,7 +25,7 @@
   state.apply({ kind: 'record_ends', life: workerIncarnation, ends }, 20)
 }
 
-test('a job is completed only when every task of every step is done', t => {
+test('a job is completed only when all its steps are done', t => {
   const state = createState([step({ taskCount: 1 }), step({ taskCount: 1, dependsOn: [0] })])
   assign(state, 'j1.0.0.0', 1)
   recordEnd(state, 'j1.0.0.0', 1, 'done')
--- a/packages/batch/test/leader-fixture.ts
+++ b/packages/batch/test/leader-fixture.ts
@@ -28,10 +28,10 @@
   #term = 1
   #requestCount = 0
 
-  /** By default, idle workers are answered as soon as others. */
-  constructor (first = document(), settings: Partial<BatchSettings> = { maxIdleHoldMs: HOLD_WAIT_MS }) {
+  /** The default setting answers idle workers as soon as others; pass `{}` for the default settings of the package. */
+  constructor (initialDocument = document(), settings: Partial<BatchSettings> = { maxIdleHoldMs: HOLD_WAIT_MS }) {
     this.#settings = { ...defaultBatchSettings, ...settings }
-    this.state.apply({ kind: 'put_configuration', document: first }, 0)
+    this.state.apply({ kind: 'put_configuration', document: initialDocument }, 0)
     this.leader = this.#createLeader()
   }
 
@@ -86,7 +86,7 @@
   }
 
   deliver (event: LeaderEvent): void {
-    for (const effect of this.leader.handle(event)) this.#execute(effect)
+    for (const effect of this.leader.handle(event)) this.#carryOut(effect)
   }
 
   #createLeader (): BatchLeader {
@@ -101,7 +101,7 @@
     })
   }
 
-  #execute (effect: LeaderEffect): void {
+  #carryOut (effect: LeaderEffect): void {
     switch (effect.kind) {
       case 'propose': return this.#propose(effect)
       case 'reply': this.#results.set(effect.requestId, effect.result); break
--- a/packages/batch/test/leader.test.ts
+++ b/packages/batch/test/leader.test.ts
@@ -37,7 +37,7 @@
   t.deepEqual(fixture.heartbeat('w1', { running: runningTasks(again?.starts ?? []) })?.starts, [])
 })
 
-test('a run end is not acknowledged before it is committed', t => {
+test('the answer to a heartbeat waits for the command that records its run end', t => {
   const fixture = createFixtureWithWorker()
   fixture.submit('j1', [step({ taskCount: 1 })])
   const starts = fixture.heartbeat('w1')?.starts ?? []
@@ -53,7 +53,7 @@
   t.is(fixture.state.job('j1')?.state, 'open')
 })
 
-test('a task is not run twice: a run being stopped stays assigned until the worker reports its end', t => {
+test('a run being stopped stays assigned until the worker reports its end, so that its task is not started elsewhere', t => {
   const fixture = createFixtureWithWorker()
   fixture.submit('j1', [step({ taskCount: 1 })])
   const starts = fixture.heartbeat('w1')?.starts ?? []
@@ -72,7 +72,7 @@
   t.is([...fixture.state.runsOf('w1')].length, 0)
 })
 
-test('a run whose start order was not sent yet is released as soon as its job is cancelled', t => {
+test('a run whose start order was not sent is released at the next heartbeat after its job is cancelled', t => {
   const fixture = createFixtureWithWorker()
   fixture.submit('j1', [step({ taskCount: 1 })])
   fixture.advance(50)
@@ -120,8 +120,8 @@
 
 test('a gang starts on all its workers with the same run number, or not at all', t => {
   const fixture = createFixtureWithWorker()
-  const eight = step({ taskCount: 2, isGang: true, shape: { cpuMillicores: 1, memoryMb: 1, acceleratorCount: 8 } })
-  fixture.submit('j1', [eight])
+  const gangStep = step({ taskCount: 2, isGang: true, shape: { cpuMillicores: 1, memoryMb: 1, acceleratorCount: 8 } })
+  fixture.submit('j1', [gangStep])
   t.deepEqual(fixture.heartbeat('w1')?.starts, [])
   fixture.heartbeat('w2')
   fixture.advance(200)
--- a/packages/batch/test/lost-worker.test.ts
+++ b/packages/batch/test/lost-worker.test.ts
@@ -54,7 +54,7 @@
 
 const DONE_END = { sequence: 1, taskKey: 'j1.0.0.0', run: 1, reason: 'done' as const, checkpoint: '' }
 
-test('a task does not end twice: an end in a delayed heartbeat is not acknowledged after the task was restarted elsewhere', t => {
+test('an end in a delayed heartbeat is not acknowledged after the task was restarted elsewhere', t => {
   const { fixture } = createWorkerWithCheckpointedRun()
   const endedMs = fixture.clock.monotonicMs() + 100
   for (let elapsedMs = 0; elapsedMs < 7_000; elapsedMs += 200) fixture.advance(200)
@@ -76,7 +76,7 @@
   t.is(fixture.state.job('j1')?.state, 'completed')
 })
 
-test('a task does not end twice: ends in heartbeats that arrive after their worker has left are not acknowledged', t => {
+test('ends in heartbeats that arrive after their worker has left are not acknowledged', t => {
   const { fixture } = createWorkerWithCheckpointedRun()
   const endedMs = fixture.clock.monotonicMs() + 100
   fixture.advance(200)
--- a/packages/batch/test/maintenance.test.ts
+++ b/packages/batch/test/maintenance.test.ts
@@ -72,7 +72,7 @@
   return { fixture, heartbeat }
 }
 
-test('maintenance evicts a lasting task only within the disruption budget of its step', t => {
+test('maintenance evicts a lasting task from a cordoned VM where its disruption budget allows it', t => {
   const { heartbeat } = createFixtureWithLastingTasks(1)
   t.is(heartbeat('w1')?.stops.length, 1)
   t.is(heartbeat('w2')?.stops.length, 0)
@@ -134,7 +134,7 @@
   }
 })
 
-test('fillers slow down while a lasting task exceeds its target latency, and speed up again afterwards', t => {
+test('fillers slow down while a lasting task is above 85 % of its target latency, and speed up below 60 %', t => {
   const fixture = new LeaderFixture()
   fixture.heartbeat('w1')
   fixture.submit('web', [step({ taskCount: 1, isLasting: true, targetLatencyMs: 100 })])
--- a/packages/batch/test/pending-reports.test.ts
+++ b/packages/batch/test/pending-reports.test.ts
@@ -4,12 +4,12 @@
 import { LeaderFixture, runningTasks } from './leader-fixture.js'
 
 /** A leader with default settings, under which idle workers wait for their answers. */
-function createProductionFixture (): LeaderFixture {
+function createFixtureWithDefaultSettings (): LeaderFixture {
   return new LeaderFixture(document(), {})
 }
 
 test('a run reaches an idle worker at once, in the answer to a heartbeat that is being held', t => {
-  const fixture = createProductionFixture()
+  const fixture = createFixtureWithDefaultSettings()
   const waiting = fixture.sendReport(report('w1', { clockMs: 1, sequence: 1 }))
   fixture.advance(300)
   t.is(fixture.answerTo(waiting), undefined)
@@ -19,14 +19,14 @@
 })
 
 test('the heartbeat of an idle worker is answered before the worker gives up on the answer', t => {
-  const fixture = createProductionFixture()
+  const fixture = createFixtureWithDefaultSettings()
   const waiting = fixture.sendReport(report('w1', { clockMs: 1, sequence: 1 }))
   for (let waitedMs = 0; waitedMs < 700; waitedMs += 50) fixture.advance(50)
   t.deepEqual(fixture.answerTo(waiting)?.starts, [])
 })
 
 test('a worker with a run is answered soon, since it cannot report an end while a heartbeat is in flight', t => {
-  const fixture = createProductionFixture()
+  const fixture = createFixtureWithDefaultSettings()
   fixture.sendReport(report('w1', { clockMs: 1, sequence: 1 }))
   fixture.submit('j1', [step({ taskCount: 1, estimateMs: 60_000 })])
   fixture.advance(20)
@@ -37,7 +37,8 @@
 })
 
 test('the heartbeat interval of 3,000 workers keeps to the limit of heartbeats per second', t => {
-  const fixture = createProductionFixture()
+  const fixture = createFixtureWithDefaultSettings()
+  // The answers to leaving workers are not held, as those to idle workers are.
   const leaving = (index: number) => report(`w${index}`, { clockMs: 1, sequence: 1, state: 'leaving' })
   const requests = Array.from({ length: 3_000 }, (_, index) => fixture.sendReport(leaving(index)))
   fixture.advance(100)
--- a/packages/batch/test/scheduler.test.ts
+++ b/packages/batch/test/scheduler.test.ts
@@ -52,7 +52,7 @@
   t.is(reportAll().flatMap(orders => orders.starts).length, 1)
 })
 
-test('an urgent job within its guarantee preempts lent capacity before the guarantee is due', t => {
+test('an urgent job that its guarantee covers preempts within 4 s', t => {
   const { fixture, reportAll } = createFleet(2)
   fixture.submit('lent', [step({ taskCount: 2, estimateMs: 600_000, shape: accelerators(8) })])
   reportAll()
@@ -69,10 +69,10 @@
 })
 
 /** Three urgent jobs of one worker each where the guarantee is two workers, and other jobs occupy all four workers. */
-function submitBurstBeyondGuarantee (estimateMs: number, lentElapsedMs = 200) {
+function submitBurstBeyondGuarantee (estimateMs: number, runElapsedMs = 200) {
   const { fixture, reportAll } = createFleet(4)
   fixture.submit('lent', [step({ taskCount: 4, estimateMs: 600_000, shape: accelerators(8) })])
-  for (let elapsedMs = 0; elapsedMs <= lentElapsedMs; elapsedMs += 200) reportAll()
+  for (let elapsedMs = 0; elapsedMs <= runElapsedMs; elapsedMs += 200) reportAll()
   for (const jobId of ['u1', 'u2', 'u3']) {
     fixture.submit(jobId, [step({ taskCount: 1, estimateMs, shape: accelerators(8) })], '/urgent/')
   }
@@ -87,7 +87,7 @@
   t.true(stops >= 3, `${stops} stops`)
 })
 
-test('urgent jobs beyond the guarantee do not preempt where that discards more than a multiple of their own work', t => {
+test('small urgent jobs beyond the guarantee do not preempt where that discards more than 1,000 core-seconds', t => {
   const reportAll = submitBurstBeyondGuarantee(1_000, 60_000)
   for (let waitedMs = 0; waitedMs < 6_000; waitedMs += 200) t.deepEqual(reportAll().flatMap(orders => orders.stops), [])
 })
@@ -139,7 +139,7 @@
   t.is(fixture.heartbeat(other)?.starts.length, 1)
 })
 
-test('a task waits for the rack of its data for up to one run time, then starts on another rack', t => {
+test('a task waits up to 2 s for the rack of its data, then starts on another rack', t => {
   const { fixture, reportAll } = createFleet(1)
   fixture.heartbeat('far', { rack: 'r2', labels: ['kind', 'r2'], state: 'leaving' })
   fixture.submit('blocker', [step({ taskCount: 1, estimateMs: 60_000, shape: accelerators(8) })])
@@ -205,7 +205,7 @@
   const { fixture, reportEach } = createTwoRacks()
   reportEach()
   const whole = step({ taskCount: 1, estimateMs: 600_000, shape: accelerators(8) })
-  // Jobs of priority 0 occupy one worker of each rack and cannot be preempted; lent capacity is on the others.
+  // Jobs of priority 0 occupy one worker of each rack and cannot be preempted. A job of lower priority has the others.
   fixture.submit('other-1', [{ ...whole, dataRack: 'r1' }], '/urgent/')
   fixture.submit('other-2', [{ ...whole, dataRack: 'r2' }], '/urgent/')
   fixture.submit('lent', [{ ...whole, taskCount: 2 }])
