--- a/packages/control/src/cell-allocations.ts
+++ b/packages/control/src/cell-allocations.ts
@@ -1,9 +1,9 @@
-/** Allocation of accelerators to placed tasks; an accelerator is never allocated twice. */
+/** Cells that are allocated to placed tasks. `allocate` checks nothing: to place a job, call `findConflict` first. */
 import type { Placement, TaskPlacement } from '@comfreygrade/core'
 
 /**
- * One cell: the accelerators of a worker that are allocated to one task, from the commit of its placement until all
- * tasks of its gang are released.
+ * A cell is a block of adjacent accelerators. This one belongs to one worker and is allocated to one task, from the
+ * commit of its placement until all tasks of its gang are released.
  */
 export interface CellAllocation {
   readonly jobId: string
--- a/packages/control/src/claims.ts
+++ b/packages/control/src/claims.ts
@@ -34,6 +34,7 @@
   readonly #expiryBuckets = new Map<number, string[]>()
   readonly #answersByAge = new Fifo<string>()
   #answerBytes = 0
+  /** First bucket that is not removed yet; 0 while unset. */
   #nextBucket = 0
 
   constructor (settings: ControlStateSettings) {
@@ -155,6 +156,7 @@
       return failure('quota_exceeded', `organisation ${organisationId} has ${count} claims, at most ${maxClaimsPerOrganisation} are allowed`)
     }
     if (this.#claims.size >= maxClaims) {
+      // Here the kind means that a limit shared by all organisations is reached; no queue is involved.
       return failure('queue_full', `${this.#claims.size} claims are stored, at most ${maxClaims} are allowed`)
     }
     return undefined
--- a/packages/control/src/commands.ts
+++ b/packages/control/src/commands.ts
@@ -2,7 +2,10 @@
 import type { ConfigurationChange, Failure, JobOutcome, JobSpec, Placement, WorkerState } from '@comfreygrade/core'
 import type { ClaimView, ControlOperation, Drain } from './operations.js'
 
-/** What happens to a stopping job once all of its tasks are released: it is requeued, or ends with an outcome. */
+/**
+ * Goal of a stop, stored as `then`: once all tasks of the stopping job are released, it is requeued or ends with an
+ * outcome.
+ */
 export type StopGoal = 'requeue' | JobOutcome
 
 /**
@@ -15,7 +18,10 @@
   | { readonly kind: 'place_job', readonly jobId: string, readonly placement: Placement }
   | { readonly kind: 'start_job', readonly jobId: string, readonly leaseId: number }
   | { readonly kind: 'job_running', readonly jobId: string, readonly leaseId: number }
-  /** Releases every task of a placement. A later command may replace a requeue by an outcome, but not the reverse. */
+  /**
+   * Releases every task of the placement that `leaseId` identifies. A later command may replace a requeue by an
+   * outcome, but not the reverse.
+   */
   | {
     readonly kind: 'stop_job'
     readonly jobId: string
@@ -25,7 +31,7 @@
     readonly then: StopGoal
   }
   | { readonly kind: 'requeue_job', readonly jobId: string, readonly leaseId: number, readonly reason: string }
-  /** `leaseId` is 0 for a job without a placement. */
+  /** `leaseId` identifies the placement; it is 0 for a job without one. */
   | {
     readonly kind: 'end_job'
     readonly jobId: string
--- a/packages/control/src/configuration-history.ts
+++ b/packages/control/src/configuration-history.ts
@@ -107,7 +107,7 @@
   #checkAcceptedVersion (change: ConfigurationChange): ChangeCheck {
     const digest = this.#digests.get(change.version, this.#current.version)
     if (digest !== undefined && equalBytes(digest, contentDigest(change))) return { kind: 'repeated' }
-    const conflict = digest === undefined ? 'is too old to compare' : 'was accepted with different content'
+    const conflict = digest === undefined ? 'cannot be compared because its digest is no longer kept' : 'was accepted with different content'
     return {
       kind: 'refused',
       failure: failure('version_conflict', `version ${change.version} ${conflict}; version ${this.#current.version} is in force`)
--- a/packages/control/src/deadline-queue.ts
+++ b/packages/control/src/deadline-queue.ts
@@ -36,7 +36,7 @@
   }
 
   /** Returns the time of the earliest deadline, or undefined if there is none. */
-  nextWakeAtMs (): number | undefined {
+  earliestDeadlineMs (): number | undefined {
     this.#removeStaleEntries()
     return this.#heap[0]?.atMs
   }
--- a/packages/control/src/drains.ts
+++ b/packages/control/src/drains.ts
@@ -27,6 +27,7 @@
       return done
     }
     if (this.#drains.size >= this.#maxDrains && !this.#drains.has(key)) {
+      // Here the kind means that a limit shared by all organisations is reached; no queue is involved.
       return refuse('queue_full', `${this.#drains.size} drains are active, at most ${this.#maxDrains} are allowed`)
     }
     this.#drains.set(key, { kind, id })
--- a/packages/control/src/gang-life-cycle.ts
+++ b/packages/control/src/gang-life-cycle.ts
@@ -13,10 +13,10 @@
 import type { WorkerAvailability } from './worker-availability.js'
 
 /**
- * Consecutive reports without an accepted task after which the task counts as lost. A single one may have been sent
- * before the order arrived.
+ * Number of consecutive reports without an accepted task at which the task counts as lost. A single such report may
+ * have been sent before the order arrived.
  */
-const MAX_MISSING_REPORTS = 2
+const MISSING_REPORTS_UNTIL_LOST = 2
 
 /** Drives the placed gangs of one leader. */
 export class GangLifeCycle {
@@ -60,8 +60,11 @@
     if (deferred !== undefined) this.requestStop(gang.jobId, deferred.request, deferred.isReclaimed, nowMs)
   }
 
-  /** Handles a committed `start_job`: orders every worker to start its task, repeatedly until it accepts. */
-  onStarted (job: JobRecord, nowMs: number): void {
+  /**
+   * Handles a committed `start_job`: orders every worker to start its task. An order that fails or is answered with
+   * `stale_term` is retried; one that is refused, or whose placement the worker does not know, stops the gang.
+   */
+  onStartCommitted (job: JobRecord, nowMs: number): void {
     const gang = this.#find(job.spec.jobId, job.leaseId)
     if (gang === undefined) return
     this.#deadlines.delete(gang.jobId)
@@ -70,7 +73,7 @@
   }
 
   /** Handles a committed `stop_job`: releases every task, with a checkpoint if the command says so. */
-  onStopping (job: JobRecord, nowMs: number): void {
+  onStopCommitted (job: JobRecord, nowMs: number): void {
     const gang = this.#find(job.spec.jobId, job.leaseId)
     if (gang === undefined) return
     this.#releaseTasks(gang, job, nowMs)
@@ -91,12 +94,12 @@
     }
   }
 
-  /** Handles the outcome of a proposed command. One that was not applied is reconsidered after a delay. */
-  onProposalSettled (jobId: string, leaseId: number, isApplied: boolean, nowMs: number): void {
+  /** Handles the outcome of a proposed command. One that was rejected or refused is reconsidered after a delay. */
+  onProposalSettled (jobId: string, leaseId: number, isAccepted: boolean, nowMs: number): void {
     const gang = this.#find(jobId, leaseId)
     if (gang === undefined) return
     gang.hasPendingCommand = false
-    if (isApplied) this.#advance(gang, nowMs)
+    if (isAccepted) this.#advance(gang, nowMs)
     else this.#proposalRetries.set(jobId, nowMs + this.#context.settings.proposalRetryMs)
   }
 
@@ -162,7 +165,7 @@
   }
 
   nextWakeAtMs (): number | undefined {
-    return earliest([this.#deadlines.nextWakeAtMs(), this.#proposalRetries.nextWakeAtMs()])
+    return earliest([this.#deadlines.earliestDeadlineMs(), this.#proposalRetries.earliestDeadlineMs()])
   }
 
   #add (job: JobRecord, progress: GangTask['progress']): Gang {
@@ -214,7 +217,11 @@
     else this.#deadlines.set(gang.jobId, nowMs + timeoutMs)
   }
 
-  /** Time-out of a release; undefined if only the workers can complete it. */
+  /**
+   * Time after which a release is forced, or undefined if it is not: the gang of a plain stop waits until each worker
+   * confirms the stop or loses its lease. When the time ends, the release of an unstarted gang counts as confirmed, and
+   * an unfinished checkpoint is replaced by a stop.
+   */
   #releaseTimeoutMs ({ stop }: JobRecord): number | undefined {
     const { settings, state } = this.#context
     if (stop?.isUnstarted === true) return settings.unstartedReleaseWaitMs
@@ -241,7 +248,7 @@
     }
     if (result === 'unknown_lease' && task.progress !== 'completed') {
       task.progress = 'released'
-      gang.requestStop(requeueRequest(`worker ${workerId} no longer has the lease of its task`))
+      gang.requestStop(requeueRequest(`worker ${workerId} no longer knows the placement of its task`))
       return
     }
     if (result === 'refused') gang.requestStop(requeueRequest(`worker ${workerId} refused to start its task`))
@@ -251,6 +258,7 @@
   #onCheckpointOutcome (gang: Gang, task: GangTask, { result }: OrderOutcome): void {
     if (result === 'unknown_lease') task.progress = 'released'
     else if (result === 'refused') this.#queueOrder(gang, task, 'stop')
+    // After the deadline every task is ordered to stop; a checkpoint would replace that order while it is unsent.
     else if (result !== 'accepted' && this.#deadlines.get(gang.jobId) !== undefined) this.#retryOrder(gang, task, 'checkpoint')
   }
 
@@ -263,7 +271,7 @@
   #onTaskMissing (gang: Gang, task: GangTask): void {
     if (task.progress !== 'held' && task.progress !== 'started') return
     task.missingReports += 1
-    if (task.missingReports < MAX_MISSING_REPORTS) return
+    if (task.missingReports < MISSING_REPORTS_UNTIL_LOST) return
     gang.requestStop(requeueRequest(`worker ${task.placement.workerId} no longer reports its task`))
   }
 
--- a/packages/control/src/gang.ts
+++ b/packages/control/src/gang.ts
@@ -4,8 +4,8 @@
 import type { ControlCommand, StopGoal } from './commands.js'
 
 /**
- * Progress of a task as far as the leader knows: `ordered` until its worker accepted `prepare`, and `released` once it
- * certainly neither runs nor holds accelerators.
+ * Progress of a task as far as the leader knows: `ordered` until its worker accepted `prepare`, `held` from then until
+ * it starts (workers report it as `prepared`), and `released` once it certainly neither runs nor holds accelerators.
  */
 export type TaskProgress = 'ordered' | 'held' | 'started' | 'completed' | 'released'
 
@@ -24,12 +24,12 @@
   readonly goal: StopGoal
 }
 
-/** One gang under one lease. */
+/** One gang in one placement, which `leaseId` identifies. */
 export class Gang {
   readonly jobId: string
   readonly leaseId: number
   readonly tasks: readonly GangTask[]
-  /** Whether a life cycle command is in flight; no other is proposed meanwhile. */
+  /** Whether a life cycle command is in flight. No other is proposed meanwhile, so that no transition is made twice. */
   hasPendingCommand = false
   /** Whether the scheduler decided to reclaim the cells of the job. */
   isReclaimed = false
@@ -72,7 +72,7 @@
     case 'preparing': return stopCommand(gang, job) ?? startCommand(gang)
     case 'starting': return completedCommand(gang) ?? stopCommand(gang, job) ?? runningCommand(gang)
     case 'running': return completedCommand(gang) ?? stopCommand(gang, job)
-    case 'stopping': return overrideCommand(gang, job) ?? releaseCommand(gang, job)
+    case 'stopping': return overrideCommand(gang, job) ?? releasedCommand(gang, job)
     default: return undefined
   }
 }
@@ -107,8 +107,9 @@
   return isRequeueOverridden ? stopCommand(gang, job) : undefined
 }
 
-function releaseCommand (gang: Gang, job: JobRecord): ControlCommand | undefined {
+function releasedCommand (gang: Gang, job: JobRecord): ControlCommand | undefined {
   const { jobId, leaseId } = gang
+  // All tasks completed before the stop took effect, so there is nothing left to requeue or cancel.
   if (job.stop?.isUnstarted === false && gang.areAllTasks('completed')) return completedCommand(gang)
   if (!gang.areAllTasks('completed', 'released')) return undefined
   const then = job.stop?.then ?? 'requeue'
--- a/packages/control/src/jobs.ts
+++ b/packages/control/src/jobs.ts
@@ -10,7 +10,7 @@
 
 /** Stored job. Records are immutable, so a snapshot may share them with the live state. */
 export interface JobRecord extends JobView {
-  /** Log index of the placement; 0 if the job is not placed. */
+  /** Identifies one placement of the job by its log index, unlike a worker lease; 0 if the job is not placed. */
   readonly leaseId: number
   /** Set only in the phase `stopping`. */
   readonly stop: StopPlan | null
@@ -21,12 +21,13 @@
 /** How a stopping job is released, and what happens to it afterwards. */
 export interface StopPlan {
   readonly isCheckpoint: boolean
+  /** Goal of the stop; stored under this name. */
   readonly then: StopGoal
-  /** No task was ordered to start under this lease, and none will be. */
+  /** No task was ordered to start under this placement, and none will be. */
   readonly isUnstarted: boolean
 }
 
-/** Position and log time of the command being applied. */
+/** Position and log time (see `ControlState.apply`) of the command being applied. */
 export interface LogPosition {
   readonly index: number
   readonly logTimeMs: number
@@ -104,12 +105,12 @@
   }
 
   start ({ jobId, leaseId }: CommandOf<'start_job'>, at: LogPosition): CommandResult {
-    return this.#withLease(jobId, leaseId, ['preparing'], job =>
+    return this.#withPlacement(jobId, leaseId, ['preparing'], job =>
       this.#update(job, { phase: 'starting', starts: job.starts + 1, detail: 'all workers prepared' }, at))
   }
 
   markRunning ({ jobId, leaseId }: CommandOf<'job_running'>, at: LogPosition): CommandResult {
-    return this.#withLease(jobId, leaseId, ['starting'], job =>
+    return this.#withPlacement(jobId, leaseId, ['starting'], job =>
       this.#update(job, { phase: 'running', detail: 'all tasks started' }, at))
   }
 
@@ -119,7 +120,7 @@
       return refuse('invalid_request', `job ${jobId} has started and cannot be started again`)
     }
     if (job?.phase === 'stopping' && (job.stop?.then !== 'requeue' || then === 'requeue')) return refuseWrongPhase(job)
-    return this.#withLease(jobId, leaseId, ['preparing', 'starting', 'running', 'stopping'], placed => {
+    return this.#withPlacement(jobId, leaseId, ['preparing', 'starting', 'running', 'stopping'], placed => {
       const isUnstarted = placed.stop?.isUnstarted ?? placed.phase === 'preparing'
       this.#update(placed, { phase: 'stopping', stop: { isCheckpoint, then, isUnstarted }, detail: reason }, at)
     })
@@ -128,7 +129,7 @@
   requeue ({ jobId, leaseId, reason }: CommandOf<'requeue_job'>, at: LogPosition): CommandResult {
     const job = this.#jobs.get(jobId)
     if (job?.phase === 'stopping' && job.stop?.then !== 'requeue') return refuseWrongPhase(job)
-    return this.#withLease(jobId, leaseId, ['stopping'], stopping => {
+    return this.#withPlacement(jobId, leaseId, ['stopping'], stopping => {
       this.#releaseCells(stopping)
       this.#update(stopping, { phase: 'waiting', placement: null, leaseId: 0, stop: null, detail: reason }, at)
     })
@@ -138,7 +139,7 @@
   end ({ jobId, leaseId, outcome, reason }: CommandOf<'end_job'>, at: LogPosition): CommandResult {
     const job = this.#jobs.get(jobId)
     if (job !== undefined && !canEnd(job, outcome)) return refuseWrongPhase(job)
-    return this.#withLease(jobId, leaseId, ['waiting', 'starting', 'running', 'stopping'], open => {
+    return this.#withPlacement(jobId, leaseId, ['waiting', 'starting', 'running', 'stopping'], open => {
       this.#releaseCells(open)
       this.#update(open, { phase: 'ended', outcome, placement: null, leaseId: 0, stop: null, detail: reason }, at)
       this.#endedByAge.push(jobId)
@@ -191,8 +192,11 @@
     if (job.placement !== null) this.allocations.release(job.spec.jobId, job.placement)
   }
 
-  /** Runs `apply` if the job has this lease and one of the phases. Late and duplicate commands are refused. */
-  #withLease (
+  /**
+   * Runs `apply` if the job has this placement and one of the phases. A late or duplicate command is refused as
+   * `stale_term`, although no terms are compared: it was decided on an earlier state of the job.
+   */
+  #withPlacement (
     jobId: string,
     leaseId: number,
     phases: readonly JobPhase[],
@@ -202,7 +206,7 @@
     if (job === undefined) return refuseUnknownJob(jobId)
     if (!phases.includes(job.phase)) return refuseWrongPhase(job)
     if (job.leaseId !== leaseId) {
-      return refuse('stale_term', `job ${jobId} has lease ${job.leaseId}, but the command is for lease ${leaseId}`)
+      return refuse('stale_term', `job ${jobId} has placement ${job.leaseId}, but the command is for placement ${leaseId}`)
     }
     apply(job)
     return done
@@ -219,6 +223,7 @@
       const conflict = gangAllocations.findConflict(task) ?? this.allocations.findConflict(task)
       if (conflict !== undefined) return `accelerators of worker ${task.workerId} are allocated to job ${conflict.jobId}`
       taskIndexes.add(task.taskIndex)
+      // Only the task matters to findConflict; the other values are placeholders.
       gangAllocations.allocate(spec.jobId, 0, { capacityClass: 'lent', reason: '', tasks: [task] })
     }
     return undefined
@@ -292,6 +297,7 @@
   return refuse('not_found', `job ${jobId} does not exist`)
 }
 
+/** `stale_term` means here that the job changed after the command was decided. */
 function refuseWrongPhase (job: JobRecord): CommandResult {
   return refuse('stale_term', `job ${job.spec.jobId} is ${job.phase} (${job.detail})`)
 }
--- a/packages/control/src/leader.ts
+++ b/packages/control/src/leader.ts
@@ -8,7 +8,7 @@
 import { PendingProposals, type Proposal } from './pending-proposals.js'
 import { SchedulerDriver } from './scheduler-driver.js'
 import { WorkerAvailability } from './worker-availability.js'
-import { WorkerLeases } from './worker-leases.js'
+import { WorkerSessions } from './worker-leases.js'
 import { WorkerService } from './worker-service.js'
 import type { CommandResult, ControlCommand } from './commands.js'
 import type { ControlEffect, ControlEvent } from './orders.js'
@@ -47,16 +47,16 @@
   readonly #gangs: GangLifeCycle
   readonly #workers: WorkerService
   readonly #operations: OperationService
-  /** Waiting jobs whose end was proposed but not applied, with the time at which they are reconsidered. */
+  /** Waiting jobs whose proposed end was rejected or refused, with the time at which they are reconsidered. */
   readonly #endRetries = new DeadlineQueue()
   #isStarted = false
   #nextClockAtMs = 0
 
   constructor (options: ControlLeaderOptions) {
     const { term, settings } = options
-    const leases = new WorkerLeases(settings)
-    const outbox = new OrderOutbox(term, settings, workerId => leases.get(workerId))
-    this.#context = { ...options, proposals: new PendingProposals(term, this.#effects), outbox, leases }
+    const sessions = new WorkerSessions(settings)
+    const outbox = new OrderOutbox(term, settings, workerId => sessions.find(workerId))
+    this.#context = { ...options, proposals: new PendingProposals(term, this.#effects), outbox, sessions }
     this.#schedulerDriver = new SchedulerDriver(this.#context)
     this.#availability = new WorkerAvailability(this.#context, this.#schedulerDriver)
     this.#gangs = new GangLifeCycle(this.#context, this.#schedulerDriver, this.#availability)
@@ -80,7 +80,7 @@
       this.#schedulerDriver.nextWakeAtMs(),
       this.#availability.nextWakeAtMs(),
       this.#gangs.nextWakeAtMs(),
-      this.#endRetries.nextWakeAtMs(),
+      this.#endRetries.earliestDeadlineMs(),
       this.#workers.nextWakeAtMs(),
       this.#context.outbox.nextWakeAtMs()
     ]) ?? this.#nextClockAtMs
@@ -120,7 +120,7 @@
     const { outbox } = this.#context
     switch (event.kind) {
       case 'operation': this.#operations.handle(event.requestId, event.operation, nowMs); break
-      case 'applied': this.#onApplied(event, nowMs); break
+      case 'applied': this.#onCommitted(event, nowMs); break
       case 'proposal_rejected': this.#onProposalRejected(event.proposalId, event.outcome === 'not_applied', nowMs); break
       case 'orders_answered': this.#onOrderOutcomes(outbox.onAnswered(event.orderId, event.results, nowMs), nowMs); break
       case 'orders_failed': this.#onOrderOutcomes(outbox.onFailed(event.orderId, nowMs), nowMs); break
@@ -173,23 +173,26 @@
 
   #proposeEnd (jobId: string, outcome: 'refused' | 'failed', reason: string, nowMs: number): void {
     const command: ControlCommand = { kind: 'end_job', jobId, leaseId: 0, outcome, reason }
-    this.#context.proposals.propose(command, { kind: 'waiting_job', jobId }, nowMs)
+    this.#context.proposals.propose(command, { kind: 'end_waiting_job', jobId }, nowMs)
   }
 
-  #onApplied ({ proposalId, index, command, result }: AppliedEvent, nowMs: number): void {
+  #onCommitted ({ proposalId, index, command, result }: AppliedEvent, nowMs: number): void {
     this.#nextClockAtMs = nowMs + this.#context.settings.clockIntervalMs
     const proposal = this.#context.proposals.take(proposalId)
-    if (result.kind !== 'refused') this.#onCommandCommitted(command, index, nowMs)
+    if (result.kind !== 'refused') this.#onCommandAccepted(command, index, nowMs)
     if (proposal === undefined) return
-    this.#onProposalApplied(proposal, result, nowMs)
+    this.#onProposalCommitted(proposal, result, nowMs)
     const isProof = proposal.purpose.kind === 'proof'
     for (const { requestId, result: lease } of this.#workers.onCommitted(proposal.proposedAtMs, isProof, nowMs)) {
       this.#operations.reply(requestId, lease)
     }
   }
 
-  /** Reacts to a committed command. Later entries may already be applied, so the current phase of the job decides. */
-  #onCommandCommitted (command: ControlCommand, index: number, nowMs: number): void {
+  /**
+   * Reacts to a committed command that the state accepted. Later entries may already be applied, so the current phase
+   * of the job decides.
+   */
+  #onCommandAccepted (command: ControlCommand, index: number, nowMs: number): void {
     switch (command.kind) {
       case 'apply_configuration': this.#onConfigurationChanged(command, nowMs); break
       case 'worker_state': this.#workers.onWorkerChanged(command.workerId, nowMs); break
@@ -199,6 +202,7 @@
     }
   }
 
+  /** The type matches the kinds of all commands about a job, such as `submit_job` and `job_running`. */
   #onJobChanged (command: Extract<ControlCommand, { kind: `${string}job${string}` }>, index: number, nowMs: number): void {
     const jobId = command.kind === 'submit_job' ? command.spec.jobId : command.jobId
     if (command.kind === 'end_job' || command.kind === 'requeue_job') this.#gangs.onReleased(jobId, nowMs)
@@ -207,8 +211,8 @@
     switch (command.kind) {
       case 'submit_job': case 'requeue_job': if (job.phase === 'waiting') this.#enqueue(job, nowMs); break
       case 'place_job': if (job.leaseId === index) this.#onPlaced(job, nowMs); break
-      case 'start_job': if (job.phase === 'starting') this.#gangs.onStarted(job, nowMs); break
-      case 'stop_job': if (job.phase === 'stopping') this.#gangs.onStopping(job, nowMs); break
+      case 'start_job': if (job.phase === 'starting') this.#gangs.onStartCommitted(job, nowMs); break
+      case 'stop_job': if (job.phase === 'stopping') this.#gangs.onStopCommitted(job, nowMs); break
       case 'job_running': case 'end_job': break
     }
   }
@@ -234,15 +238,15 @@
     }
   }
 
-  #onProposalApplied (proposal: Proposal, result: CommandResult, nowMs: number): void {
+  #onProposalCommitted (proposal: Proposal, result: CommandResult, nowMs: number): void {
     const { purpose } = proposal
-    const isApplied = result.kind !== 'refused'
+    const isAccepted = result.kind !== 'refused'
     switch (purpose.kind) {
-      case 'operation': this.#operations.onApplied(proposal, result, nowMs); break
-      case 'gang': this.#gangs.onProposalSettled(purpose.jobId, purpose.leaseId, isApplied, nowMs); break
-      case 'placement': if (!isApplied) this.#resyncScheduler(purpose.jobId, nowMs); break
-      case 'worker': this.#workers.onProposalSettled(purpose.workerId, isApplied, nowMs); break
-      case 'waiting_job': if (!isApplied) this.#endRetries.set(purpose.jobId, this.#retryAtMs(nowMs)); break
+      case 'operation': this.#operations.onCommitted(proposal, result, nowMs); break
+      case 'gang': this.#gangs.onProposalSettled(purpose.jobId, purpose.leaseId, isAccepted, nowMs); break
+      case 'placement': if (!isAccepted) this.#resyncScheduler(purpose.jobId, nowMs); break
+      case 'worker': this.#workers.onProposalSettled(purpose.workerId, isAccepted, nowMs); break
+      case 'end_waiting_job': if (!isAccepted) this.#endRetries.set(purpose.jobId, this.#retryAtMs(nowMs)); break
       case 'proof': case 'clock': break
     }
   }
@@ -256,15 +260,15 @@
       case 'gang': this.#gangs.onProposalSettled(purpose.jobId, purpose.leaseId, false, nowMs); break
       case 'placement': this.#resyncScheduler(purpose.jobId, nowMs); break
       case 'worker': this.#workers.onProposalSettled(purpose.workerId, false, nowMs); break
-      case 'waiting_job': this.#endRetries.set(purpose.jobId, this.#retryAtMs(nowMs)); break
+      case 'end_waiting_job': this.#endRetries.set(purpose.jobId, this.#retryAtMs(nowMs)); break
       case 'proof': this.#refusePendingReports(); break
       case 'clock': break
     }
   }
 
   /**
-   * Replaces what the scheduler knows of a job by the state, after a proposal for the job was not applied. The job
-   * usually waits again, but a placement that was reported as rejected may have been committed after all.
+   * Replaces what the scheduler knows of a job by the state, after a proposal for the job was rejected or refused. The
+   * job usually waits again, but a placement that was reported as rejected may have been committed after all.
    */
   #resyncScheduler (jobId: string, nowMs: number): void {
     const job = this.#context.state.job(jobId)
--- a/packages/control/src/leadership-proof.ts
+++ b/packages/control/src/leadership-proof.ts
@@ -18,7 +18,11 @@
     this.#provenAtMs = Math.max(this.#provenAtMs, proposedAtMs)
   }
 
-  /** Returns whether a report received at `receivedAtMs` may be answered with a lease at `nowMs`. */
+  /**
+   * Returns whether a report received at `receivedAtMs` may be answered with a lease at `nowMs`. A proof that is
+   * no older than the receipt suffices without a time limit: no later leader had been elected when the report was sent.
+   * The worker counts its lease from then, and a successor counts it from the later start of its own term.
+   */
   isValid (receivedAtMs: number, nowMs: number): boolean {
     return this.#provenAtMs >= receivedAtMs || nowMs <= this.#provenAtMs + this.#validMs
   }
--- a/packages/control/src/operation-service.ts
+++ b/packages/control/src/operation-service.ts
@@ -1,4 +1,4 @@
-/** Operations of entry VMs. Reads are answered from the state, writes once their command is applied. */
+/** Operations of entry VMs. Reads are answered from the state, writes once their command is committed and applied. */
 import { fail, failure, succeed, type Failure, type JobExplanation, type JobSpec } from '@comfreygrade/core'
 import { isGrantable } from './claims.js'
 import { isSameSpec, toJobView, type JobRecord } from './jobs.js'
@@ -47,6 +47,7 @@
       case 'answer': this.reply(requestId, succeed(decision.answer)); break
       case 'refuse': this.reply(requestId, { ok: false, failure: decision.failure }); break
       case 'propose': {
+        // Only write operations lead to a proposal.
         const purpose = { kind: 'operation' as const, requestId, operation: operation as WriteOperation, attempt }
         this.#context.proposals.propose(decision.command, purpose, nowMs)
         break
@@ -55,19 +56,20 @@
     }
   }
 
-  /** Answers an operation whose command was applied, or refused by the state. */
-  onApplied ({ purpose, command }: Proposal, result: CommandResult, nowMs: number): void {
+  /** Answers an operation whose command was committed, and accepted or refused by the state. */
+  onCommitted ({ purpose, command }: Proposal, result: CommandResult, nowMs: number): void {
     if (purpose.kind !== 'operation') return
     const { requestId, operation, attempt } = purpose
     if (result.kind === 'refused') {
       if (command.kind === 'submit_job') this.#withdrawUnsubmitted(command.spec, nowMs)
+      // For a job command, `stale_term` means that the job changed after the command was decided.
       const hasJobChanged = result.failure.kind === 'stale_term' && operation.kind === 'cancel_job'
       if (!hasJobChanged) this.reply(requestId, { ok: false, failure: result.failure })
       else if (attempt < MAX_CANCEL_ATTEMPTS) this.handle(requestId, operation, nowMs, attempt + 1)
       else this.reply(requestId, fail('control_unavailable', `the job changed during ${attempt} attempts to cancel it`))
       return
     }
-    this.reply(requestId, succeed(this.#answerApplied(operation, result)))
+    this.reply(requestId, succeed(this.#answerAccepted(operation, result)))
   }
 
   /** Answers an operation whose proposal was rejected. Unless `isNotApplied`, the command may still take effect. */
@@ -107,24 +109,27 @@
     }
   }
 
-  /** Refuses a job shape that the inventory cannot hold, so that it never enters the log. */
+  /**
+   * Refuses a job shape that the inventory cannot hold, so that it never enters the log. To check it, the job is queued
+   * in the scheduler before its command is committed, and withdrawn if the command is refused or rejected.
+   */
   #submit (spec: JobSpec, nowMs: number): OperationDecision {
     const existing = this.#context.state.job(spec.jobId)
     if (existing !== undefined) {
       return isSameSpec(existing.spec, spec)
         ? answer({ kind: 'job', job: toJobView(existing) })
-        : refuse(failure('job_exists', `job ${spec.jobId} already exists with a different specification`))
+        : refuseWith(failure('job_exists', `job ${spec.jobId} already exists with a different specification`))
     }
     if (!this.#context.state.configuration.organisations.has(spec.organisationId)) {
-      return refuse(failure('unknown_organisation', `organisation ${spec.organisationId} is not in the inventory`))
+      return refuseWith(failure('unknown_organisation', `organisation ${spec.organisationId} is not in the inventory`))
     }
     const problem = this.#schedulerDriver.submit(spec, nowMs)
-    return problem === undefined ? propose({ kind: 'submit_job', spec }) : refuse(problem)
+    return problem === undefined ? propose({ kind: 'submit_job', spec }) : refuseWith(problem)
   }
 
   #cancel (jobId: string): OperationDecision {
     const job = this.#context.state.job(jobId)
-    if (job === undefined) return refuse(failure('not_found', `job ${jobId} does not exist`))
+    if (job === undefined) return refuseWith(failure('not_found', `job ${jobId} does not exist`))
     const isEnding = job.phase === 'stopping' && job.stop?.then !== 'requeue'
     if (job.phase === 'ended' || isEnding) return answer({ kind: 'job', job: toJobView(job) })
     const { leaseId } = job
@@ -137,7 +142,7 @@
   #getJob (jobId: string): OperationDecision {
     const job = this.#context.state.job(jobId)
     return job === undefined
-      ? refuse(failure('not_found', `job ${jobId} does not exist`))
+      ? refuseWith(failure('not_found', `job ${jobId} does not exist`))
       : answer({ kind: 'job', job: toJobView(job) })
   }
 
@@ -166,21 +171,21 @@
 
   #explain (jobId: string, nowMs: number): OperationDecision {
     const job = this.#context.state.job(jobId)
-    if (job === undefined) return refuse(failure('not_found', `job ${jobId} does not exist`))
+    if (job === undefined) return refuseWith(failure('not_found', `job ${jobId} does not exist`))
     const explanation = job.phase === 'ended' ? explainEndedJob(job) : this.#context.scheduler.explain(jobId, nowMs)
     return answer({ kind: 'explanation', explanation })
   }
 
   #reportWorker (requestId: string, { report }: OperationOf<'report_worker'>, nowMs: number): OperationDecision {
     const problem = this.#workers.onReport(report, nowMs)
-    if (problem !== undefined) return refuse(problem)
+    if (problem !== undefined) return refuseWith(problem)
     const lease = this.#workers.answerReport(requestId, report, nowMs)
     return lease === undefined ? { kind: 'later' } : answer(lease)
   }
 
   #leaveWorker (workerId: string): OperationDecision {
     const worker = this.#context.state.worker(workerId)
-    if (worker === undefined) return refuse(failure('not_found', `worker ${workerId} is unknown`))
+    if (worker === undefined) return refuseWith(failure('not_found', `worker ${workerId} is unknown`))
     return worker.state === 'draining'
       ? answer({ kind: 'done' })
       : propose({ kind: 'worker_state', ...worker, state: 'draining' })
@@ -188,7 +193,7 @@
 
   #applyChange ({ change, isDryRun }: OperationOf<'apply_change'>): OperationDecision {
     const checked = this.#context.state.checkChange(change)
-    if (checked.kind === 'refused') return refuse(checked.failure)
+    if (checked.kind === 'refused') return refuseWith(checked.failure)
     if (isDryRun || checked.kind === 'repeated') {
       return answer({ kind: 'configuration_accepted', version: change.version, isDryRun })
     }
@@ -220,7 +225,7 @@
   }
 
   #activeState (workerId: string, quarantined: ReadonlySet<string>): WorkerView['state'] {
-    if (this.#context.state.isDrained('worker', workerId)) return 'draining'
+    if (this.#context.state.hasDrain('worker', workerId)) return 'draining'
     return quarantined.has(workerId) ? 'quarantined' : 'active'
   }
 
@@ -232,20 +237,20 @@
     const isFree = existing === undefined || (existing.digest === digest && isGrantable(existing, claimantId))
     if (claim === undefined || isFree) {
       const problem = state.checkKey(key)
-      return problem === undefined ? propose({ ...operation }) : refuse(problem)
+      return problem === undefined ? propose({ ...operation }) : refuseWith(problem)
     }
     return existing.digest === digest
       ? answer({ kind: 'claim', granted: false, claim })
-      : refuse(failure('key_reused', `idempotency key ${key} was already used for a request with different content`))
+      : refuseWith(failure('key_reused', `idempotency key ${key} was already used for a request with different content`))
   }
 
   #getClaim ({ organisationId, key }: OperationOf<'get_claim'>): OperationDecision {
     const claim = this.#context.state.claimView(organisationId, key)
     if (claim !== undefined) return answer({ kind: 'claim', granted: false, claim })
-    return refuse(this.#context.state.checkKey(key) ?? failure('not_found', `claim ${key} does not exist`))
+    return refuseWith(this.#context.state.checkKey(key) ?? failure('not_found', `claim ${key} does not exist`))
   }
 
-  #answerApplied (operation: WriteOperation, result: CommandResult): ControlAnswer {
+  #answerAccepted (operation: WriteOperation, result: CommandResult): ControlAnswer {
     switch (operation.kind) {
       case 'submit_job': return this.#jobAnswer(operation.spec.jobId)
       case 'cancel_job': return this.#jobAnswer(operation.jobId)
@@ -272,7 +277,7 @@
   return { kind: 'answer', answer: value }
 }
 
-function refuse (cause: Failure): OperationDecision {
+function refuseWith (cause: Failure): OperationDecision {
   return { kind: 'refuse', failure: cause }
 }
 
@@ -280,6 +285,7 @@
   return { kind: 'propose', command }
 }
 
+/** The states of an explanation include no end other than a refusal; any other outcome is only in the reason. */
 function explainEndedJob ({ spec, outcome, detail }: JobRecord): JobExplanation {
   return {
     jobId: spec.jobId,
--- a/packages/control/src/operations.ts
+++ b/packages/control/src/operations.ts
@@ -5,7 +5,14 @@
 } from '@comfreygrade/core'
 import type { FleetReport } from '@comfreygrade/placement'
 
-/** State of a claim of a non-repeatable request. */
+/**
+ * State of a claim of a non-repeatable request:
+ *
+ * - `pending`: granted, and the request may be running.
+ * - `completed`: the request ran; its response is recorded unless it is too large or was evicted.
+ * - `not_run`: the request certainly did not run, so the key may be granted again.
+ * - `unknown`: the request may have run. A claim that is pending beyond the maximum request deadline is shown so too.
+ */
 export type ClaimState = 'pending' | 'completed' | 'not_run' | 'unknown'
 
 /** Recorded response to a completed non-repeatable request; opaque to the control nodes. */
@@ -45,7 +52,7 @@
   readonly tasks: number
 }
 
-/** Kinds of resources that can be drained. */
+/** Kinds of resources that can be drained. The leader acts on workers, the node adapter on VMs and backend servers. */
 export type DrainKind = 'vm' | 'worker' | 'backend-server'
 
 /** A resource that an operator drained. */
@@ -105,7 +112,10 @@
   | { readonly kind: 'job', readonly job: JobView }
   | { readonly kind: 'jobs', readonly jobs: readonly JobView[], readonly total: number }
   | { readonly kind: 'explanation', readonly explanation: JobExplanation }
-  /** `leaseMs` counts from the sending of the report; `stopTasks` are reported tasks without an allocation. */
+  /**
+   * Renews the lease of the worker, which covers all of its tasks: `leaseMs` counts from the sending of the report.
+   * `stopTasks` are reported tasks without an allocation; their `leaseId` identifies a placement, not the worker lease.
+   */
   | {
     readonly kind: 'worker_lease'
     readonly term: number
--- a/packages/control/src/order-outbox.ts
+++ b/packages/control/src/order-outbox.ts
@@ -15,7 +15,7 @@
 }
 
 interface OrderMessage {
-  readonly orderId: string
+  readonly messageId: string
   readonly workerId: string
   readonly orders: readonly TaskOrder[]
 }
@@ -63,7 +63,7 @@
   /** Discards all orders for a worker that is gone; answers that arrive later are ignored. */
   dropWorker (workerId: string): void {
     const queue = this.#queues.get(workerId)
-    if (queue?.inFlight !== undefined) this.#messages.delete(queue.inFlight.orderId)
+    if (queue?.inFlight !== undefined) this.#messages.delete(queue.inFlight.messageId)
     this.#queues.delete(workerId)
     this.#readyWorkers.delete(workerId)
     this.#timers.delete(workerId)
@@ -73,8 +73,8 @@
    * Handles the answer to a message; one that arrives after the time-out has no outcomes. Refusals also cause an
    * exponential back-off: without it a refused order would be resent in a tight loop.
    */
-  onAnswered (orderId: string, results: readonly OrderResult[], nowMs: number): OrderOutcome[] {
-    const message = this.#finish(orderId)
+  onAnswered (messageId: string, results: readonly OrderResult[], nowMs: number): OrderOutcome[] {
+    const message = this.#finish(messageId)
     if (message === undefined) return []
     if (results.some(result => result === 'refused' || result === 'stale_term')) this.#backOff(message.workerId, nowMs)
     else this.#queueFor(message.workerId).failures = 0
@@ -83,8 +83,8 @@
   }
 
   /** Handles a message without an answer; sending to the worker backs off exponentially. */
-  onFailed (orderId: string, nowMs: number): OrderOutcome[] {
-    const message = this.#finish(orderId)
+  onFailed (messageId: string, nowMs: number): OrderOutcome[] {
+    const message = this.#finish(messageId)
     if (message === undefined) return []
     this.#backOff(message.workerId, nowMs)
     return message.orders.map(order => ({ workerId: message.workerId, order, result: 'failed' }))
@@ -96,7 +96,7 @@
     for (const workerId of this.#timers.takeDue(nowMs)) {
       const message = this.#queues.get(workerId)?.inFlight
       if (message === undefined) this.#readyWorkers.add(workerId)
-      else outcomes.push(...this.onFailed(message.orderId, nowMs))
+      else outcomes.push(...this.onFailed(message.messageId, nowMs))
     }
     return outcomes
   }
@@ -105,7 +105,7 @@
   flush (nowMs: number): ControlEffect[] {
     const effects: ControlEffect[] = []
     for (const workerId of this.#readyWorkers) {
-      const effect = this.#send(workerId, nowMs)
+      const effect = this.#createSendEffect(workerId, nowMs)
       if (effect !== undefined) effects.push(effect)
     }
     this.#readyWorkers.clear()
@@ -113,10 +113,10 @@
   }
 
   nextWakeAtMs (): number | undefined {
-    return this.#timers.nextWakeAtMs()
+    return this.#timers.earliestDeadlineMs()
   }
 
-  #send (workerId: string, nowMs: number): ControlEffect | undefined {
+  #createSendEffect (workerId: string, nowMs: number): ControlEffect | undefined {
     const queue = this.#queues.get(workerId)
     const session = this.#findSession(workerId)
     if (queue === undefined || session === undefined) return undefined
@@ -129,23 +129,23 @@
     this.#timers.set(workerId, nowMs + this.#settings.orderTimeoutMs)
     const { incarnation, address } = session
     const orders = message.orders.map(order => ({ ...order, incarnation, leaseMs: this.#settings.leaseMs }))
-    return { kind: 'send_orders', orderId: message.orderId, workerId, address, term: this.#term, orders }
+    return { kind: 'send_orders', orderId: message.messageId, workerId, address, term: this.#term, orders }
   }
 
   #takeMessage (workerId: string, queue: WorkerQueue): OrderMessage {
     this.#messageCount += 1
     const orders = [...queue.unsent.values()].slice(0, this.#settings.maxOrdersPerMessage)
     for (const order of orders) queue.unsent.delete(orderKey(order))
-    const message = { orderId: `${this.#term}-${this.#messageCount}`, workerId, orders }
+    const message = { messageId: `${this.#term}-${this.#messageCount}`, workerId, orders }
     queue.inFlight = message
-    this.#messages.set(message.orderId, message)
+    this.#messages.set(message.messageId, message)
     return message
   }
 
-  #finish (orderId: string): OrderMessage | undefined {
-    const message = this.#messages.get(orderId)
+  #finish (messageId: string): OrderMessage | undefined {
+    const message = this.#messages.get(messageId)
     if (message === undefined) return undefined
-    this.#messages.delete(orderId)
+    this.#messages.delete(messageId)
     this.#queueFor(message.workerId).inFlight = undefined
     this.#timers.delete(message.workerId)
     this.#readyWorkers.add(message.workerId)
@@ -155,6 +155,7 @@
   #backOff (workerId: string, nowMs: number): void {
     const queue = this.#queueFor(workerId)
     const { orderRetryMs, maxOrderRetryMs } = this.#settings
+    // The exponent is limited so that the power stays finite.
     queue.retryAtMs = nowMs + Math.min(maxOrderRetryMs, orderRetryMs * 2 ** Math.min(queue.failures, 16))
     queue.failures += 1
   }
--- a/packages/control/src/orders.ts
+++ b/packages/control/src/orders.ts
@@ -13,11 +13,12 @@
  *   without a valid lease.
  * - `prepare` reserves the accelerators and runs nothing; it is refused if another task holds one of them.
  * - `start` is idempotent: a task that already runs or has ended accepts it again. Without a prepared task the result
- *   is `unknown_lease`.
+ *   is `unknown_lease`: the worker does not know the placement.
  * - `checkpoint` is accepted when it begins; the task is reported as `stopped` once the checkpoint is complete.
- * - `stop` is accepted once the task no longer runs and its accelerators are free. The worker refuses the lease from
- *   then on, whether it knew it or not, because a reordered `prepare` may still arrive. The same applies to a lease
- *   that it released on expiry.
+ * - `stop` is accepted once the task no longer runs and its accelerators are free. The worker refuses the placement
+ *   from then on, whether it knew it or not, because a reordered `prepare` may still arrive. The same applies to a
+ *   placement that it released when its lease expired.
+ * - `throttle` is supported by workers, but this leader never sends it and ignores its outcome.
  * - An ended task holds no accelerators and is reported until the leader tells the worker to stop it.
  */
 export type OrderKind = 'prepare' | 'start' | 'checkpoint' | 'throttle' | 'stop'
@@ -27,11 +28,14 @@
   readonly kind: OrderKind
   readonly jobId: string
   readonly taskIndex: number
-  /** Log index of the placement; the order does not affect a task under another lease. */
+  /**
+   * Identifies the placement by its log index; the order does not affect a task of another placement. It is not the
+   * worker lease, which covers all tasks of a worker.
+   */
   readonly leaseId: number
   readonly firstAccelerator: number
   readonly acceleratorCount: number
-  /** Worker process that the order is for. A later process does not know the leases that an earlier one released. */
+  /** Worker process that the order is for. A later process does not know what an earlier one released. */
   readonly incarnation: number
   /** Duration of the worker lease, which an order does not renew. */
   readonly leaseMs: number
@@ -43,6 +47,7 @@
 /** Events of the control leader. */
 export type ControlEvent =
   | { readonly kind: 'operation', readonly requestId: string, readonly operation: ControlOperation }
+  /** A committed entry was applied to the state, which may have refused its command. */
   | { readonly kind: 'applied', readonly proposalId: string, readonly index: number, readonly command: ControlCommand, readonly result: CommandResult }
   /** `not_applied` means that the command certainly never takes effect. Defaults to `unknown`. */
   | {
@@ -50,6 +55,7 @@
     readonly proposalId: string
     readonly outcome?: 'not_applied' | 'unknown'
   }
+  /** `orderId` identifies the message of a `send_orders` effect; there is one result for each of its orders. */
   | { readonly kind: 'orders_answered', readonly orderId: string, readonly results: readonly OrderResult[] }
   /** The worker was unreachable or did not answer; the orders may have arrived. */
   | { readonly kind: 'orders_failed', readonly orderId: string }
--- a/packages/control/src/pending-proposals.ts
+++ b/packages/control/src/pending-proposals.ts
@@ -3,7 +3,7 @@
 import type { ControlOperation } from './operations.js'
 import type { ControlEffect } from './orders.js'
 
-/** Operations that are answered once their command is applied. */
+/** Operations that are answered once their command is committed. */
 export type WriteOperation = Extract<ControlOperation, {
   kind: 'submit_job' | 'cancel_job' | 'leave_worker' | 'apply_change' | 'drain' | 'undrain' | 'claim_request' | 'settle_claim'
 }>
@@ -13,7 +13,7 @@
   | { readonly kind: 'operation', readonly requestId: string, readonly operation: WriteOperation, readonly attempt: number }
   | { readonly kind: 'gang', readonly jobId: string, readonly leaseId: number }
   | { readonly kind: 'placement', readonly jobId: string }
-  | { readonly kind: 'waiting_job', readonly jobId: string }
+  | { readonly kind: 'end_waiting_job', readonly jobId: string }
   | { readonly kind: 'worker', readonly workerId: string }
   /** Proves leadership for reports that wait for their answer. */
   | { readonly kind: 'proof' }
--- a/packages/control/src/ports.ts
+++ b/packages/control/src/ports.ts
@@ -11,29 +11,40 @@
 /**
  * Gang scheduler as seen by the control leader.
  *
- * The scheduler tracks a job from its submission or restoration until it is cancelled, ended or reclaimed. None of
- * these three requeues the job: the leader submits a requeued job again. All three ignore an unknown job.
+ * The scheduler tracks a job from its submission or restoration until it is ended or reclaimed, or is cancelled while
+ * it waits. None of these calls requeues the job: the leader submits a requeued job again. All ignore an unknown job.
  */
 export abstract class JobScheduler {
   /** Replaces the configuration; joined workers and placed jobs are kept. */
   abstract applyConfiguration (configuration: Configuration): void
   /** Makes a worker available again after any loss or drain. */
   abstract workerJoined (workerId: string, nowMs: number): void
+  /** Removes a worker. Placed jobs with tasks on it stay placed until they are ended or reclaimed. */
   abstract workerLost (workerId: string, nowMs: number): void
   /** Stops new placements on a worker until it joins again. */
   abstract drainWorker (workerId: string): void
+  /** Queues a job; returns why it is refused, or undefined if it waits. */
   abstract submit (job: JobSpec, nowMs: number): Failure | undefined
   /** Adds a job that is already placed, for example after a change of leader. Its workers may not have joined. */
   abstract restore (job: JobSpec, placement: Placement, startedMs: number): void
   /** Removes a waiting job. A placed one keeps its cells until they are released, but its run time does not count. */
   abstract cancel (jobId: string, nowMs: number): void
+  /** Records that a task of a job failed on a worker. The job keeps its cells until it is ended or reclaimed. */
   abstract taskFailed (jobId: string, workerId: string, nowMs: number): void
   /** Removes a placed job whose tasks are all released. */
   abstract ended (jobId: string, nowMs: number): void
   /** Removes a placed job that the scheduler reclaimed, once its tasks are all released. */
   abstract reclaimed (jobId: string, nowMs: number): void
+  /**
+   * Runs a scheduling pass. A job of a returned `place` decision counts as placed from then on, before its command is
+   * committed. If the command is rejected or refused, the leader removes the job and, if it still waits, submits it
+   * again.
+   */
   abstract pass (nowMs: number): PlacementDecision[]
+  /** Explains why a job waits, or how it was placed or refused. */
   abstract explain (jobId: string, nowMs: number): JobExplanation
+  /** Returns the state of the fleet for operators. */
   abstract report (): FleetReport
+  /** Checks whether all organisations could claim their guarantees at once. */
   abstract checkReclaimable (): ReclaimCheck
 }
--- a/packages/control/src/settings.ts
+++ b/packages/control/src/settings.ts
@@ -13,16 +13,19 @@
   readonly claimAnswerMaxBytes: number
   /** Maximum total size of recorded answers; the oldest are evicted first. */
   readonly claimAnswersTotalMaxBytes: number
+  /** Maximum number of claims of all organisations together. */
   readonly maxClaims: number
   readonly maxClaimsPerOrganisation: number
+  /** How long an ended job is kept, in log time. */
   readonly endedJobRetentionMs: number
+  /** Maximum number of ended jobs; the oldest are removed first. */
   readonly maxEndedJobs: number
   /** Maximum number of jobs that have not ended. */
   readonly maxOpenJobs: number
   readonly maxOpenJobsPerOrganisation: number
   /** Recent configuration changes kept for the configuration feed. */
   readonly maxRecentChanges: number
-  /** Maximum number of records in all recent changes together, which bounds memory when changes are large. */
+  /** Maximum number of records in all recent changes, so that a large change is not kept along with many others. */
   readonly maxRecentChangeRecords: number
   /** Number of versions whose digest is kept, so that a resent change gets the same answer again. */
   readonly maxChangeDigests: number
@@ -44,38 +47,40 @@
   readonly prepareTimeoutMs: number
   /**
    * How long a gang that never started waits for its workers to confirm the release. No `start` was or will be sent
-   * under its lease, so after this time the gang may be placed again; a worker that still holds a cell refuses to
-   * prepare another task on it. Must be far below the 5.1 s within which urgent jobs have to start, so that a silent
+   * in its placement, so after this time the gang may be placed again; a worker that still holds a cell refuses to
+   * prepare another task on it. Must be far below 5.1 s, the target for starting an urgent job, so that a silent
    * worker does not delay an urgent gang for a whole lease.
    */
   readonly unstartedReleaseWaitMs: number
   /** An order that is not answered within this time counts as failed. */
   readonly orderTimeoutMs: number
+  /** First delay of orders to a worker that refused some or did not answer; doubles up to `maxOrderRetryMs`. */
   readonly orderRetryMs: number
   readonly maxOrderRetryMs: number
   readonly maxOrdersPerMessage: number
-  /** Delay before a command whose proposal was not applied is reconsidered. */
+  /** Delay before a command that was rejected or refused is reconsidered. */
   readonly proposalRetryMs: number
   /** Minimum time between two scheduling passes, so that a burst of events causes a single pass. */
   readonly minPassIntervalMs: number
   /** Time between two passes while jobs wait, for decisions that depend only on time, such as backfilling. */
   readonly idlePassIntervalMs: number
   /**
-   * First period for which a worker that refused a placement or did not answer is excluded from new placements. It
+   * First period for which a worker that refused a placement or did not answer is excluded from new ones. The period
    * doubles with each exclusion up to `maxWorkerHoldMs`.
    */
   readonly workerHoldMs: number
+  /** Maximum exclusion period of a worker. */
   readonly maxWorkerHoldMs: number
   /** How long before the end of `reclaimWithinMs` an unfinished checkpoint is replaced by a stop. */
   readonly reclaimStopMarginMs: number
-  /** Maximum time without a command; bounds the lag of log time and thereby the expiry of claims. */
+  /** Maximum time without a command under a leader; bounds the delay with which claims and ended jobs expire. */
   readonly clockIntervalMs: number
 }
 
 const HOUR_MS = 3_600_000
 const MIB_BYTES = 1024 * 1024
 
-/** Default limits of the replicated state, sized for the two-year target in the design page. */
+/** Default limits of the replicated state, for the target size of the system. */
 export const defaultControlStateSettings: ControlStateSettings = {
   claimRetentionMs: 24 * HOUR_MS,
   // Log time does not advance without a leader, so it lags behind wall time by the total duration of such outages.
--- a/packages/control/src/state.ts
+++ b/packages/control/src/state.ts
@@ -77,7 +77,12 @@
     return state
   }
 
-  /** Applies the command of one log entry. Each entry must be applied once, in log order. */
+  /**
+   * Applies the command of one log entry. Each entry must be applied once, in log order.
+   *
+   * @param logTimeMs log time of the entry: recorded by the leader that appended it, the same on every replica, and
+   * never decreasing along the log. It advances with the leader's monotonic clock and stands still without a leader.
+   */
   apply (command: ControlCommand, index: number, logTimeMs: number): CommandResult {
     if (index <= this.#lastIndex) throw new RangeError(`log entry ${index} cannot be applied after entry ${this.#lastIndex}`)
     this.#lastIndex = index
@@ -105,6 +110,7 @@
     return this.#lastIndex
   }
 
+  /** Log time of the last applied entry. */
   get logTimeMs (): number {
     return this.#logTimeMs
   }
@@ -179,7 +185,8 @@
     return this.#drains.list()
   }
 
-  isDrained (kind: DrainKind, id: string): boolean {
+  /** Returns whether an operator drains the resource: from the command on, not only once it has no more work. */
+  hasDrain (kind: DrainKind, id: string): boolean {
     return this.#drains.has(kind, id)
   }
 
@@ -232,7 +239,7 @@
       if (worker === undefined) return `worker ${workerId} is not in the inventory`
       const state = this.#workers.get(workerId)?.state ?? 'lost'
       if (state !== 'active') return `worker ${workerId} is ${state}`
-      if (this.#drains.has('worker', workerId)) return `worker ${workerId} is drained`
+      if (this.#drains.has('worker', workerId)) return `worker ${workerId} is draining`
       if (firstAccelerator < 0 || acceleratorCount < 0 || firstAccelerator + acceleratorCount > worker.accelerators) {
         return `accelerators ${firstAccelerator} to ${firstAccelerator + acceleratorCount - 1} of worker ${workerId} do not exist`
       }
--- a/packages/control/src/worker-availability.ts
+++ b/packages/control/src/worker-availability.ts
@@ -1,15 +1,16 @@
-/** Availability of workers for new placements. */
+/** Availability of workers for new placements, as the scheduler is notified of it. */
 import { DeadlineQueue } from './deadline-queue.js'
 import type { LeaderContext } from './leader-context.js'
 import type { SchedulerDriver } from './scheduler-driver.js'
 
+/** An excluded worker counts as draining: it gets no new tasks, and its running tasks keep their cells. */
 type SchedulerAvailability = 'available' | 'draining' | 'lost'
 
 /** Derives the availability of each worker and notifies the scheduler of changes. */
 export class WorkerAvailability {
   readonly #context: LeaderContext
   readonly #schedulerDriver: SchedulerDriver
-  readonly #reported = new Map<string, SchedulerAvailability>()
+  readonly #notifiedAvailability = new Map<string, SchedulerAvailability>()
   readonly #exclusions = new DeadlineQueue()
   readonly #exclusionCounts = new Map<string, number>()
 
@@ -18,12 +19,12 @@
     this.#schedulerDriver = schedulerDriver
   }
 
-  /** Notifies the scheduler if the availability of a worker differs from the one last reported. */
+  /** Notifies the scheduler if the availability of a worker differs from its last notification. */
   refresh (workerId: string, nowMs: number): void {
     const availability = this.#availabilityOf(workerId)
-    if ((this.#reported.get(workerId) ?? 'lost') === availability) return
-    if (availability === 'lost') this.#reported.delete(workerId)
-    else this.#reported.set(workerId, availability)
+    if ((this.#notifiedAvailability.get(workerId) ?? 'lost') === availability) return
+    if (availability === 'lost') this.#notifiedAvailability.delete(workerId)
+    else this.#notifiedAvailability.set(workerId, availability)
     this.#notifyScheduler(workerId, availability, nowMs)
     this.#schedulerDriver.requestPass()
   }
@@ -38,6 +39,7 @@
     const { workerHoldMs, maxWorkerHoldMs } = this.#context.settings
     const count = this.#exclusionCounts.get(workerId) ?? 0
     this.#exclusionCounts.set(workerId, count + 1)
+    // The exponent is limited so that the power stays finite.
     this.#exclusions.set(workerId, nowMs + Math.min(maxWorkerHoldMs, workerHoldMs * 2 ** Math.min(count, 16)))
     this.#context.metrics.increment('worker_excluded')
     this.refresh(workerId, nowMs)
@@ -53,15 +55,15 @@
   }
 
   nextWakeAtMs (): number | undefined {
-    return this.#exclusions.nextWakeAtMs()
+    return this.#exclusions.earliestDeadlineMs()
   }
 
   #availabilityOf (workerId: string): SchedulerAvailability {
-    const { state, leases } = this.#context
+    const { state, sessions } = this.#context
     const record = state.worker(workerId)
-    if (record === undefined || record.state === 'lost' || leases.get(workerId)?.hasLease !== true) return 'lost'
+    if (record === undefined || record.state === 'lost' || sessions.find(workerId)?.hasLease !== true) return 'lost'
     if (!state.configuration.workers.has(workerId)) return 'lost'
-    const isDraining = record.state !== 'active' || state.isDrained('worker', workerId)
+    const isDraining = record.state !== 'active' || state.hasDrain('worker', workerId)
     return isDraining || this.#exclusions.get(workerId) !== undefined ? 'draining' : 'available'
   }
 
--- a/packages/control/src/worker-leases.ts
+++ b/packages/control/src/worker-leases.ts
@@ -1,4 +1,4 @@
-/** Worker sessions of a leader: process, last report and certain expiry of the lease of each worker. */
+/** Worker sessions of a leader, each with the process, the last report and the lease of a worker. */
 import type { WorkerReport } from '@comfreygrade/core'
 import { DeadlineQueue } from './deadline-queue.js'
 import type { ControlSettings } from './settings.js'
@@ -18,8 +18,8 @@
 /** Position of a report relative to the session; an old one precedes the last report or is from an earlier process. */
 export type ReportFreshness = 'first' | 'next' | 'old_sequence' | 'new_incarnation' | 'old_incarnation'
 
-/** Leases granted by one leader or taken over from its predecessors. */
-export class WorkerLeases {
+/** Sessions of all workers. Their leases were granted by this leader or taken over from its predecessors. */
+export class WorkerSessions {
   readonly #expiryDelayMs: number
   readonly #sessions = new Map<string, WorkerSession>()
   readonly #expiries = new DeadlineQueue()
@@ -35,7 +35,7 @@
     if (hasLease) this.#expiries.set(workerId, nowMs + this.#expiryDelayMs)
   }
 
-  get (workerId: string): WorkerSession | undefined {
+  find (workerId: string): WorkerSession | undefined {
     return this.#sessions.get(workerId)
   }
 
@@ -43,9 +43,10 @@
    * Renews the lease of a worker on receipt of its report. If the answer is never sent, the worker does not renew its
    * own lease, so the expiry assumed here is merely late.
    */
-  renew ({ workerId, incarnation, sequence, address }: WorkerReport, nowMs: number): ReportFreshness {
+  renewLease ({ workerId, incarnation, sequence, address }: WorkerReport, nowMs: number): ReportFreshness {
     const freshness = reportFreshness(this.#sessions.get(workerId), incarnation, sequence)
     if (freshness === 'old_incarnation') return freshness
+    // A report that arrives out of order is answered with a lease too, so it also extends the expiry.
     this.#expiries.set(workerId, nowMs + this.#expiryDelayMs)
     if (freshness === 'old_sequence') return freshness
     this.#sessions.set(workerId, { workerId, incarnation, sequence, address, hasLease: true })
@@ -71,7 +72,7 @@
   }
 
   nextWakeAtMs (): number | undefined {
-    return this.#expiries.nextWakeAtMs()
+    return this.#expiries.earliestDeadlineMs()
   }
 }
 
--- a/packages/control/src/worker-service.ts
+++ b/packages/control/src/worker-service.ts
@@ -37,7 +37,7 @@
   /** Takes over the workers in the state. Leases that former leaders granted are counted from now. */
   start (nowMs: number): void {
     for (const record of this.#context.state.workers()) {
-      this.#context.leases.adopt(record, nowMs)
+      this.#context.sessions.adopt(record, nowMs)
       this.#availability.refresh(record.workerId, nowMs)
     }
   }
@@ -52,12 +52,12 @@
   /** Handles a report; returns why it is refused, or undefined if it is accepted. */
   onReport (report: WorkerReport, nowMs: number): Failure | undefined {
     const { workerId, incarnation } = report
-    const { state, leases } = this.#context
+    const { state, sessions } = this.#context
     if (!state.configuration.workers.has(workerId) && state.worker(workerId) === undefined) {
       return failure('not_found', `worker ${workerId} is not in the inventory`)
     }
-    const hadLease = leases.get(workerId)?.hasLease ?? false
-    const freshness = leases.renew(report, nowMs)
+    const hadLease = sessions.find(workerId)?.hasLease ?? false
+    const freshness = sessions.renewLease(report, nowMs)
     if (freshness === 'old_incarnation') {
       return failure('stale_term', `worker ${workerId} has a later incarnation than ${incarnation}`)
     }
@@ -73,7 +73,10 @@
     return undefined
   }
 
-  /** Handles the commit of a proposal of this leader; returns the answers to reports that it makes possible. */
+  /**
+   * Handles the commit of a proposal of this leader, which proves leadership even if the state refused its command.
+   * Returns the answers to reports that the proof makes possible.
+   */
   onCommitted (
     proposedAtMs: number,
     isProof: boolean,
@@ -103,16 +106,16 @@
     this.#reconcile(workerId, nowMs)
   }
 
-  /** Handles the outcome of a proposed change of a worker. One that was not applied is retried after a delay. */
-  onProposalSettled (workerId: string, isApplied: boolean, nowMs: number): void {
+  /** Handles the outcome of a proposed change of a worker. One that is rejected or refused is retried after a delay. */
+  onProposalSettled (workerId: string, isAccepted: boolean, nowMs: number): void {
     this.#pendingProposals.delete(workerId)
-    if (isApplied) this.#reconcile(workerId, nowMs)
+    if (isAccepted) this.#reconcile(workerId, nowMs)
     else this.#proposalRetries.set(workerId, nowMs + this.#context.settings.proposalRetryMs)
   }
 
   /**
-   * Handles the removal of a worker from the inventory. Its gangs are stopped with a confirmed release, because their
-   * cells may be allocated again.
+   * Handles the removal of a worker from the inventory. Its gangs are stopped in an orderly way, with a checkpoint
+   * where the job supports one, because their cells may be allocated again.
    */
   onWorkerRemoved (workerId: string, nowMs: number): void {
     this.#availability.refresh(workerId, nowMs)
@@ -120,16 +123,16 @@
       const request = { reason: `worker ${workerId} was removed from the inventory`, isCheckpoint: true, goal: 'requeue' as const }
       this.#gangs.requestStop(jobId, request, false, nowMs)
     }
-    if (this.#context.state.worker(workerId) === undefined) this.#context.leases.remove(workerId)
+    if (this.#context.state.worker(workerId) === undefined) this.#context.sessions.remove(workerId)
   }
 
   tick (nowMs: number): void {
-    for (const session of this.#context.leases.takeExpired(nowMs)) this.#onLeaseExpired(session, nowMs)
+    for (const session of this.#context.sessions.takeExpired(nowMs)) this.#onLeaseExpired(session, nowMs)
     for (const workerId of this.#proposalRetries.takeDue(nowMs)) this.#reconcile(workerId, nowMs)
   }
 
   nextWakeAtMs (): number | undefined {
-    return earliest([this.#context.leases.nextWakeAtMs(), this.#proposalRetries.nextWakeAtMs()])
+    return earliest([this.#context.sessions.nextWakeAtMs(), this.#proposalRetries.earliestDeadlineMs()])
   }
 
   #proposeProof (nowMs: number): void {
@@ -176,10 +179,10 @@
   /** Proposes a change of the worker record if it differs from the session of the worker. */
   #reconcile (workerId: string, nowMs: number): void {
     if (this.#pendingProposals.has(workerId)) return
-    const { state, leases, proposals } = this.#context
+    const { state, sessions, proposals } = this.#context
     const record = state.worker(workerId)
-    if (record === undefined && !state.configuration.workers.has(workerId)) leases.remove(workerId)
-    const session = leases.get(workerId)
+    if (record === undefined && !state.configuration.workers.has(workerId)) sessions.remove(workerId)
+    const session = sessions.find(workerId)
     if (session === undefined || isUpToDate(record, session)) return
     this.#pendingProposals.add(workerId)
     const { incarnation, address } = session
@@ -188,7 +191,7 @@
   }
 }
 
-/** A leaving worker stays in the state `draining` until its process restarts. */
+/** A leaving worker stays in the state `draining` until its process restarts or its lease expires. */
 function desiredState (record: WorkerRecord | undefined, { hasLease, incarnation }: WorkerSession): WorkerRecord['state'] {
   if (!hasLease) return 'lost'
   const isSameProcess = record !== undefined && record.incarnation === incarnation && record.state !== 'lost'
--- a/packages/control/test/execution-checks.ts
+++ b/packages/control/test/execution-checks.ts
@@ -19,7 +19,7 @@
   }).map(execution => `${describe(execution)} ran before its whole gang was prepared`)
 }
 
-/** Finds jobs that ran under two leases at the same time. */
+/** Finds jobs that ran in two placements at the same time. */
 export function findConcurrentRuns ({ executions }: ExecutionRecord): string[] {
   return pairs(executions)
     .filter(([left, right]) =>
@@ -27,15 +27,15 @@
     .map(([left, right]) => `${describe(left)} and ${describe(right)} ran at the same time`)
 }
 
-/** Finds non-repeatable jobs that ran under two leases. */
+/** Finds non-repeatable jobs that ran in two placements. */
 export function findRepeatedRuns ({ executions }: ExecutionRecord, jobs: readonly JobRecord[]): string[] {
   return jobs
     .filter(({ spec }) => spec.preemption === 'none')
     .filter(({ spec }) => new Set(executions.filter(run => run.jobId === spec.jobId).map(run => run.leaseId)).size > 1)
-    .map(({ spec }) => `${spec.jobId} is non-repeatable and ran under two leases`)
+    .map(({ spec }) => `${spec.jobId} is non-repeatable and ran in two placements`)
 }
 
-/** Finds jobs whose recorded outcome contradicts the executions. */
+/** Finds jobs that never ended, and ended ones whose outcome contradicts the executions. */
 export function findWrongOutcomes (
   { executions }: ExecutionRecord,
   jobs: readonly JobRecord[],
@@ -83,5 +83,5 @@
 }
 
 function describe ({ jobId, leaseId, taskIndex }: Execution): string {
-  return `task ${taskIndex} of ${jobId} (lease ${leaseId})`
+  return `task ${taskIndex} of ${jobId} (placement ${leaseId})`
 }
--- a/packages/control/test/fake-worker.ts
+++ b/packages/control/test/fake-worker.ts
@@ -50,7 +50,7 @@
   /** Rate of the worker clock relative to that of the leader; with a slow clock a lease lasts longer. */
   readonly #clockRate: number
   readonly #tasks = new Map<string, WorkerTask>()
-  readonly #refusedLeases = new Set<string>()
+  readonly #refusedPlacements = new Set<string>()
   #incarnation = 1
   #sequence = 0
   #highestTerm = 0
@@ -79,7 +79,7 @@
       if (task.state !== 'running' && task.state !== 'prepared') continue
       this.#endTask(task, 'stopped', this.#leaseEndMs)
       this.#tasks.delete(key)
-      this.#refusedLeases.add(key)
+      this.#refusedPlacements.add(key)
     }
   }
 
@@ -100,7 +100,7 @@
     this.#sequence = 0
     this.#highestTerm = 0
     this.#leaseEndMs = Number.NEGATIVE_INFINITY
-    this.#refusedLeases.clear()
+    this.#refusedPlacements.clear()
   }
 
   /** Pauses the process and its tasks; it keeps its state. */
@@ -161,7 +161,7 @@
 
   /** Accepts overlapping cells, so that a double allocation shows in the execution record. */
   #prepare (key: string, order: WorkerOrder, nowMs: number): OrderResult {
-    if (this.behaviour === 'refuses' || this.#refusedLeases.has(key)) return 'refused'
+    if (this.behaviour === 'refuses' || this.#refusedPlacements.has(key)) return 'refused'
     const { jobId, leaseId, taskIndex } = order
     this.#tasks.set(key, { order, state: 'prepared', execution: undefined })
     this.#record.preparations.push({ jobId, leaseId, taskIndex, atMs: nowMs })
@@ -186,7 +186,7 @@
 
   #stopTask (key: string, nowMs: number): OrderResult {
     const task = this.#tasks.get(key)
-    this.#refusedLeases.add(key)
+    this.#refusedPlacements.add(key)
     if (task === undefined) return 'unknown_lease'
     if (this.behaviour === 'ignores_stop') return 'accepted'
     this.#endTask(task, 'stopped', nowMs)
--- a/packages/control/test/gang-life-cycle.test.ts
+++ b/packages/control/test/gang-life-cycle.test.ts
@@ -21,7 +21,7 @@
   return simulation
 }
 
-test('an order that a worker refuses is resent after a back-off, not in a tight loop', t => {
+test('a stop order that a worker refuses is not resent in a loop without time passing', t => {
   const simulation = simulationWithJobs()
   while (simulation.step());
   simulation.worker('w0').restart(simulation.nowMs)
@@ -51,7 +51,10 @@
   }
 }
 
-/** Takes up to `count` steps, in which all workers report whenever no message or proposal is left. */
+/**
+ * Takes up to `count` steps, in which all workers report whenever no message or proposal is left. Ends after 30 such
+ * rounds, which take 1.5 s of simulated time.
+ */
 function takeSteps (simulation: Simulation, count: number, injectFaults: FaultInjector = () => {}): number {
   let taken = 0
   for (let idle = 0; taken < count && idle < 30; taken += 1) {
@@ -72,9 +75,10 @@
   t.is(simulation.executionRecord.executions.length, 5)
 })
 
+// 99 exceeds the number of proposals in flight, so that all of them are committed.
 for (const committedCount of [0, 1, 99]) {
   for (const delivery of ['dropped', 'late', 'to the former leader'] as const) {
-    test(`replacing the leader after any step loses no job and runs no gang partially: ${committedCount} proposals committed, messages ${delivery}`, t => {
+    test(`replacing the leader after any step loses no job and runs no gang partially: at most ${committedCount} proposals committed, messages ${delivery}`, t => {
       const total = takeSteps(simulationWithJobs(), Number.POSITIVE_INFINITY)
       t.true(total > 60, `${total} steps`)
       for (let steps = 0; steps < total; steps += 1) {
@@ -91,6 +95,7 @@
   }
 }
 
+// Both times, 30 ms and the default of 300 ms, end before the lease of a silent worker, which lasts 1,000 ms.
 for (const settings of [{}, { unstartedReleaseWaitMs: 30 }]) {
   const name = `unstartedReleaseWaitMs ${settings.unstartedReleaseWaitMs ?? 'default'}`
   test(`replacing the leader after any step of a restart, a reclaim and a cancellation loses no job and runs no gang partially: ${name}`, t => {
@@ -203,8 +208,10 @@
   return simulation
 }
 
+// With 60,000 ms, far above the lease of 1,000 ms, the release of a gang that never started waits for its workers or
+// for the expiry of their leases; with 30 ms it does not.
 for (const unstartedReleaseWaitMs of [60_000, 30]) {
-  test(`random faults and new leaders never run a gang partially or twice: unstartedReleaseWaitMs ${unstartedReleaseWaitMs}`, t => {
+  test(`under random faults and new leaders no gang runs partially or in two placements at once, and no non-repeatable one runs again: unstartedReleaseWaitMs ${unstartedReleaseWaitMs}`, t => {
     fc.assert(fc.property(actions, list => {
       const problems = violations(runActions(list, { settings: { unstartedReleaseWaitMs } }))
       if (problems.length > 0) throw new Error(problems.join('\n'))
@@ -228,11 +235,12 @@
 
 test('the check for concurrent runs detects a leader that does not wait for a lease to expire', t => {
   t.deepEqual(findConcurrentRuns(runWithPartitionedWorker({}).executionRecord), [])
+  // Reduces the time that the leader waits for the expiry to a tenth of the lease.
   t.not(findConcurrentRuns(runWithPartitionedWorker({ settings: { clockRateBound: -0.9 } }).executionRecord).length, 0)
 })
 
 test('a stopping gang is not started elsewhere while its task on a silent worker may still run', t => {
-  const simulation = runWithPartitionedWorker({}, silent => silent.worker('w0').restart(silent.nowMs))
+  const simulation = runWithPartitionedWorker({}, partitioned => partitioned.worker('w0').restart(partitioned.nowMs))
   t.deepEqual(findConcurrentRuns(simulation.executionRecord), [])
   t.is(new Set(simulation.executionRecord.executions.map(({ leaseId }) => leaseId)).size, 2)
 })
@@ -272,12 +280,12 @@
 }
 
 test('the check for concurrent runs detects a former leader that renews leases whose expiry its successor counts', t => {
-  t.deepEqual(findConcurrentRuns(runWithFrozenLeader({}).executionRecord), [])
-  t.not(findConcurrentRuns(runWithFrozenLeader({ leadershipValidMs: 60_000 }).executionRecord).length, 0)
+  t.deepEqual(findConcurrentRuns(runWithFormerLeader({}).executionRecord), [])
+  t.not(findConcurrentRuns(runWithFormerLeader({ leadershipValidMs: 60_000 }).executionRecord).length, 0)
 })
 
 /** Delivers the reports of one worker to a former leader, which resumed after its successor had started. */
-function runWithFrozenLeader (settings: Partial<ControlSettings>): Simulation {
+function runWithFormerLeader (settings: Partial<ControlSettings>): Simulation {
   const simulation = new Simulation({ settings, workers: 4 })
   for (const worker of simulation.workers) worker.runMs = 5_000
   simulation.run(200)
--- a/packages/control/test/leader.test.ts
+++ b/packages/control/test/leader.test.ts
@@ -101,7 +101,7 @@
   t.true(simulation.scheduler.calls.includes('ended j0'))
 })
 
-test('a job that is reclaimed before its placement is committed releases its cells', t => {
+test('a reclaim before the placement of its job is committed takes effect, and the scheduler is notified of its end', t => {
   const simulation = startedSimulation()
   simulation.request({ kind: 'submit_job', spec: job('j0') })
   t.is(simulation.proposals.at(-1)?.command.kind, 'place_job')
@@ -177,7 +177,7 @@
   simulation.request({ kind: 'submit_job', spec: job('j0', { tasks: 1 }) })
   simulation.run(5_000)
   t.is(simulation.state.job('j0')?.outcome, 'failed')
-  t.is(simulation.scheduler.calls.filter(call => call.startsWith('taskFailed j0')).length, 6)
+  t.is(simulation.scheduler.calls.filter(call => call.startsWith('taskFailed j0')).length, 6) // MAX_JOB_FAILURES of the fake scheduler
 })
 
 test('a worker that refuses every placement does not block a gang that fits elsewhere', t => {
@@ -241,7 +241,7 @@
   t.is(simulation.state.configuration.organisations.get('o1')?.quotaAccelerators, 5)
 })
 
-test('read operations return jobs by phase and organisation, the fleet and the configuration', t => {
+test('read operations return all jobs or those in a phase, an explanation, the fleet and the configuration', t => {
   const simulation = startedSimulation()
   simulation.request({ kind: 'submit_job', spec: job('j0', { tasks: 9 }) })
   simulation.request({ kind: 'submit_job', spec: job('j1') })
@@ -276,6 +276,7 @@
 function cancellationCost (count: number, scheduler: FakeScheduler): number {
   const simulation = new Simulation({ scheduler })
   for (let number = 0; number < count; number += 1) {
+    // A gang of 60 tasks does not fit on the workers, so that every job keeps waiting.
     simulation.request({ kind: 'submit_job', spec: job(`j${number}`, { tasks: 60 }) })
   }
   // Time does not advance, so that no pass of the fake scheduler, which iterates over all jobs, runs in between.
@@ -288,6 +289,7 @@
   return operations
 }
 
+/** Factor by which the cost may exceed 4 times that of a quarter of the jobs and still counts as linear. */
 const LINEAR_TOLERANCE = 1.15
 
 test('cancelling 10,000 jobs takes no more operations per job than cancelling 2,500', t => {
--- a/packages/control/test/simulation.ts
+++ b/packages/control/test/simulation.ts
@@ -41,10 +41,11 @@
   | {
     readonly kind: 'answer'
     readonly workerId: string
-    readonly orderId: string
+    readonly messageId: string
     readonly results: readonly OrderResult[]
   }
   | { readonly kind: 'report', readonly report: WorkerReport, readonly sentMs: number }
+  /** Answer to a report: a lease or a failure. */
   | { readonly kind: 'lease', readonly report: WorkerReport, readonly sentMs: number, readonly result: ControlResult }
 
 export interface SimulationOptions {
@@ -116,6 +117,7 @@
     this.scheduler = scheduler
     this.#settings = { ...testSettings, ...settings }
     this.#intercept = intercept
+    // Relative to the leader's clock; each deviates from it by less than `clockRateBound`, which is 0.01.
     const rates = [1, 0.991, 1.009]
     this.workers = inventory(workers).workers.map(({ workerId }, position) =>
       new FakeWorker(workerId, rates[position % rates.length] ?? 1, this.executionRecord))
@@ -166,7 +168,7 @@
     const leader = isToFormerLeader ? this.formerLeader ?? this.leader : this.leader
     switch (message.kind) {
       case 'orders': this.#deliverOrders(message.effect); break
-      case 'answer': this.dispatch({ kind: 'orders_answered', orderId: message.orderId, results: message.results }, leader); break
+      case 'answer': this.dispatch({ kind: 'orders_answered', orderId: message.messageId, results: message.results }, leader); break
       case 'report': this.#deliverReport(message, leader); break
       case 'lease': this.#deliverLease(message); break
     }
@@ -290,7 +292,7 @@
   #deliverOrders ({ orderId, workerId, term, orders }: SendOrders): void {
     const worker = this.worker(workerId)
     if (!worker.isReachable) return
-    this.#send({ kind: 'answer', workerId, orderId, results: worker.receive(term, orders, this.nowMs) })
+    this.#send({ kind: 'answer', workerId, messageId: orderId, results: worker.receive(term, orders, this.nowMs) })
   }
 
   #deliverReport ({ report, sentMs }: Extract<Message, { kind: 'report' }>, leader: ControlLeader): void {
--- a/packages/control/test/state.test.ts
+++ b/packages/control/test/state.test.ts
@@ -83,7 +83,7 @@
   return result.kind === 'refused' ? result.failure.kind : result.kind
 }
 
-test('late and duplicate life cycle commands are refused, so that an old lease never changes a newer placement', t => {
+test('late and duplicate life cycle commands are refused, so that a command for an old placement never changes a newer one', t => {
   const log = logWithJob()
   t.is(resultKind(log.apply(place('j0', ['w0', 'w1']))), 'done')
   const leaseId = log.index
@@ -96,7 +96,7 @@
   t.is(log.state.job('j0')?.starts, 1)
 })
 
-test('a placement is refused on allocated cells, on a lost, drained or unknown worker, and for part of a gang', t => {
+test('a placement is refused on allocated cells, on a lost, draining or unknown worker, and for part of a gang', t => {
   const log = logWithJob()
   log.apply({ kind: 'submit_job', spec: job('j1') })
   log.apply(place('j0', ['w0', 'w1']))
@@ -153,7 +153,7 @@
   t.is([...log.state.jobs()].length, 1)
 })
 
-test('only a version 7 UUID with the right variant is a valid key, and keys are case-insensitive', t => {
+test('a claim is refused for a malformed, reused, expired or future key or an unknown organisation, and keys are case-insensitive', t => {
   const log = configuredLog()
   const key = keyAt(START_MS, 0xab)
   t.is(resultKind(log.apply(claim(key))), 'granted')
@@ -211,7 +211,10 @@
   t.is(log.state.claimView('o1', key)?.state, 'completed')
 })
 
-/** Claims a few keys at irregular times and returns the keys that were granted twice. */
+/**
+ * Claims a few keys at irregular times and returns the keys that were granted twice. The random elapsed time also
+ * determines whether and how a claim is settled, and whether the state is restored from a snapshot.
+ */
 function findDoubleGrants (steps: ReadonlyArray<readonly [number, number]>, transform = unchanged): string[] {
   const log = configuredLog()
   const granted = new Set<string>()
@@ -251,7 +254,11 @@
   return { version, baseVersion: version - 1, upserts: [{ kind: 'organisation', record }], removes: [] }
 }
 
-/** Applies changes of racing operators and returns versions that decreased or were accepted with two contents. */
+/**
+ * Applies changes of racing operators and returns versions that decreased, were accepted with two contents, or were
+ * refused on resend although their digest, one of the last 6, is still kept. The random weight also determines whether
+ * the state is restored from a snapshot.
+ */
 function findVersionErrors (steps: ReadonlyArray<readonly [number, number]>, transform = unchanged): string[] {
   const log = configuredLog()
   const accepted = new Map<number, number>()
@@ -277,7 +284,7 @@
   t.pass()
 })
 
-test('the check for version errors detects a restore that loses the last change', t => {
+test('the check for version errors detects a restore that lowers the version', t => {
   const dropLastChange: Transform = snapshot => {
     const version = Math.max(1, snapshot.configuration.version - 1)
     return { ...snapshot, configuration: { ...snapshot.configuration, version } }
