--- a/packages/routing/src/adaptive-concurrency-limit.ts
+++ b/packages/routing/src/adaptive-concurrency-limit.ts
@@ -1,7 +1,7 @@
 /** Adaptive limit on the requests in flight to one backend server. */
 import type { RoutingSettings } from './settings.js'
 
-/** Weight of one answer in the moving average of a server's slowness. */
+/** Weight of one answer in the average slowness: the logarithm of the ratio of actual to typical service time. */
 const SLOWNESS_SMOOTHING_FACTOR = 0.1
 
 /**
@@ -37,8 +37,12 @@
     this.#limitRequests = Math.min(this.#limitRequests, ceilingRequests)
   }
 
-  /** Records an answer after `durationMs` to a request whose class typically takes `expectedMs`. */
+  /**
+   * Records an answer after `durationMs` to a request that typically takes `expectedMs`. It raises the limit, or
+   * lowers it if the answers are slow on average.
+   */
   recordSuccess (durationMs: number, expectedMs: number, nowMs: number): void {
+    // The minimum of 0.1 ms keeps the logarithm finite.
     const logSlowness = Math.log(Math.max(durationMs, 0.1) / Math.max(expectedMs, 0.1))
     this.#averageLogSlowness += (logSlowness - this.#averageLogSlowness) * SLOWNESS_SMOOTHING_FACTOR
     if (this.#averageLogSlowness > Math.log(this.#settings.limitSlowFactor)) return this.recordOverload(nowMs)
--- a/packages/routing/src/admission.ts
+++ b/packages/routing/src/admission.ts
@@ -1,4 +1,4 @@
-/** Admission control: rejects requests on arrival that cannot meet their deadline. */
+/** Admission control: refuses requests on arrival that cannot meet their deadline. */
 import { failure, type Failure, type RequestSpec } from '@comfreygrade/core'
 import type { ServiceTimeEstimator } from './service-time-estimator.js'
 import type { ServiceQueues } from './service-queues.js'
@@ -18,7 +18,8 @@
 
   /**
    * Returns the refusal of a request that would miss its deadline, or undefined if it is admitted. A request that does
-   * not have to wait is always admitted, so that a wrong estimate is corrected by new samples once the queue is empty.
+   * not have to wait, or whose wait is not known, is always admitted, so that a wrong estimate is corrected by new
+   * samples once the queue is empty.
    */
   refusalFor (spec: RequestSpec, weight: number, nowMs: number): Failure | undefined {
     const serviceTimeMs = this.#serviceTimes.typicalMs(spec.requestClass)
@@ -27,10 +28,11 @@
     if (expectedWaitMs === 0 || latenessMs <= 0) return undefined
     const detail = `expected wait ${Math.round(expectedWaitMs)} ms and service time ${Math.round(serviceTimeMs)} ms, ` +
       `${Math.round(spec.deadlineAtMs - nowMs)} ms left before the deadline`
+    // After this delay, the same request is expected to be served in time, unless `maxRetryAfterMs` shortens it.
     return failure('deadline_unreachable', detail, this.retryAfterMs(latenessMs))
   }
 
-  /** Expected time in the queue; 0 if the queue is empty or its service rate is not known yet. */
+  /** Expected wait behind requests of the same work class; 0 if none waits or their service rate is not known yet. */
   expectedWaitMs (spec: RequestSpec, weight: number): number {
     const { organisationId, deadlineAtMs, requestClass } = spec
     const workClass = this.#serviceTimes.workClass(requestClass)
@@ -43,7 +45,7 @@
     return this.#queues.getOrCreate(spec.service).requests.expectedWaitMs(item, weight) ?? 0
   }
 
-  /** Retry advice for a delay after which the same request would be served in time, limited to the set bounds. */
+  /** Rounds a retry delay up to whole milliseconds between `minRetryAfterMs` and `maxRetryAfterMs`. */
   retryAfterMs (delayMs: number): number {
     const { minRetryAfterMs, maxRetryAfterMs } = this.#settings
     return Math.ceil(Math.min(maxRetryAfterMs, Math.max(minRetryAfterMs, delayMs)))
--- a/packages/routing/src/attempt-observer.ts
+++ b/packages/routing/src/attempt-observer.ts
@@ -27,7 +27,8 @@
 
   /**
    * Records a failed attempt. A timeout after less than `limitSlowFactor` times the typical service time does not count
-   * against the server, as it says nothing about the server's health.
+   * against the server, as it says nothing about the server's health. A server error counts towards ejection, but is
+   * not a sign of overload.
    *
    * @returns whether the failure ejected the server
    */
--- a/packages/routing/src/attempt-timing.ts
+++ b/packages/routing/src/attempt-timing.ts
@@ -4,7 +4,7 @@
 import type { ServiceTimeEstimator } from './service-time-estimator.js'
 import type { RoutingSettings } from './settings.js'
 
-/** Part of the remaining time that an attempt gets without a service time estimate; the rest allows one retry. */
+/** Share of the remaining time used as timeout if the service time is not known; the rest allows one retry. */
 const DEFAULT_TIMEOUT_SHARE = 0.5
 
 /** Computes the timeout of each attempt and the delay before the next one. */
@@ -21,7 +21,8 @@
 
   /**
    * Time at which an attempt times out. Only idempotent requests time out before their deadline, as only they can be
-   * retried after a timeout. The timeout doubles after each timed-out attempt, because the estimate may be too low.
+   * retried after a timeout. A timeout based on the estimated service time doubles after each timed-out attempt,
+   * because the estimate may be too low.
    */
   timeoutAtMs (request: OpenRequest, nowMs: number): number {
     const { deadlineAtMs, requestClass } = request.spec
--- a/packages/routing/src/deficit-round-robin.ts
+++ b/packages/routing/src/deficit-round-robin.ts
@@ -1,10 +1,15 @@
 /** Weighted fair scheduling of flows whose requests have different costs. */
 
-interface Flow { readonly key: string, weight: number, deficitMs: number }
+interface Flow {
+  readonly key: string
+  weight: number
+  /** Unspent service time, the deficit counter of the algorithm. */
+  creditMs: number
+}
 
 /**
  * Deficit round robin (Shreedhar and Varghese, 1995). Rounds in which no flow has enough credit are skipped in one
- * step, so that selecting a flow with expensive requests takes no more iterations.
+ * step, so that selecting a flow takes no more iterations when requests are expensive.
  *
  * @example
  * const flows = new DeficitRoundRobin(20)
@@ -23,10 +28,10 @@
 
   /** Adds a flow that has become non-empty. */
   add (key: string, weight: number): void {
-    this.#flows.push({ key, weight, deficitMs: 0 })
+    this.#flows.push({ key, weight, creditMs: 0 })
   }
 
-  /** Removes a flow that has become empty. Its deficit is reset, so that an idle flow cannot accumulate credit. */
+  /** Removes a flow that has become empty. Its credit is lost, so that an idle flow cannot accumulate credit. */
   remove (key: string): void {
     const index = this.#flows.findIndex(flow => flow.key === key)
     if (index < 0) return
@@ -40,29 +45,31 @@
    * @param costOf cost of a flow's first request, or undefined if it cannot be served now
    */
   select (costOf: (key: string) => number | undefined): string | undefined {
-    let rounds = Infinity
+    let minRounds = Infinity
     for (let step = 0; step < this.#flows.length; step++) {
       const missingRounds = this.#roundsUntilAffordable(this.#flowAt(step), costOf)
       if (missingRounds === 0) return this.#advanceCursor(step).key
-      rounds = Math.min(rounds, missingRounds)
+      minRounds = Math.min(minRounds, missingRounds)
     }
-    return rounds === Infinity ? undefined : this.#skipRounds(rounds, costOf)
+    return minRounds === Infinity ? undefined : this.#skipRounds(minRounds, costOf)
   }
 
-  /** Deducts the cost of a served request from the deficit of its flow. */
+  /** Deducts the cost of a served request from the credit of its flow. */
   charge (key: string, costMs: number): void {
     const flow = this.#flows.find(each => each.key === key)
-    if (flow !== undefined) flow.deficitMs -= costMs
+    if (flow !== undefined) flow.creditMs -= costMs
   }
 
-  /** Credits every flow that can be served with several rounds and selects the first with enough credit. */
+  /**
+   * Adds the credit of `rounds` rounds to every flow that can be served, and selects the first that then has enough.
+   */
   #skipRounds (rounds: number, costOf: (key: string) => number | undefined): string | undefined {
     let firstEligibleStep: number | undefined
     for (let step = 0; step < this.#flows.length; step++) {
       const flow = this.#flowAt(step)
       const missingRounds = this.#roundsUntilAffordable(flow, costOf)
       if (missingRounds === Infinity) continue
-      flow.deficitMs += rounds * this.#quantumMs * flow.weight
+      flow.creditMs += rounds * this.#quantumMs * flow.weight
       if (missingRounds <= rounds) firstEligibleStep ??= step
     }
     return firstEligibleStep === undefined ? undefined : this.#advanceCursor(firstEligibleStep).key
@@ -81,6 +88,6 @@
   #roundsUntilAffordable (flow: Flow, costOf: (key: string) => number | undefined): number {
     const costMs = costOf(flow.key)
     if (costMs === undefined) return Infinity
-    return Math.max(0, Math.ceil((costMs - flow.deficitMs) / (this.#quantumMs * flow.weight)))
+    return Math.max(0, Math.ceil((costMs - flow.creditMs) / (this.#quantumMs * flow.weight)))
   }
 }
--- a/packages/routing/src/dispatcher.ts
+++ b/packages/routing/src/dispatcher.ts
@@ -3,7 +3,7 @@
 import type { Admission } from './admission.js'
 import type { LoadExchange } from './load-exchange.js'
 import type { OpenRequest } from './open-request.js'
-import type { RoutingPolicy, Selection } from './policy.js'
+import type { RoutingPolicy, SelectionContext } from './policy.js'
 import type { RequestQueue } from './request-queue.js'
 import type { ServerPool, ServerState } from './server-pool.js'
 import type { ServiceTimeEstimator, WorkClass } from './service-time-estimator.js'
@@ -24,15 +24,18 @@
   readonly timers: TimerHeap
   /** Sends a request that has been removed from its queue. */
   readonly dispatch: (request: OpenRequest, server: ServerState, nowMs: number) => void
-  /** Refuses a waiting request; `notRunFailure` applies if no earlier attempt may have run. */
+  /**
+   * Refuses a waiting request; `notRunFailure` is replaced if an earlier attempt may have run
+   * (`OpenRequest.outcomeFailure`).
+   */
   readonly refuse: (request: OpenRequest, notRunFailure: Failure) => void
 }
 
-type SelectServer = (selection: Selection) => ServerState | undefined
+type SelectServer = (context: SelectionContext) => ServerState | undefined
 
 /**
- * Sends waiting requests when capacity changes. A class for which no server had capacity is blocked until the next
- * change, so that a full system does not search all servers on every event.
+ * Sends waiting requests when capacity changes. A work class for which no server had capacity is blocked until the
+ * next change, so that a full system does not search all servers on every event.
  */
 export class Dispatcher {
   readonly #options: DispatcherOptions
@@ -73,10 +76,11 @@
   submit (request: OpenRequest, nowMs: number): void {
     const { queues } = this.#options
     const queue = queues.getOrCreate(request.spec.service)
-    if (queue.requests.sizeOf(request.workClass) === 0) queue.blockedClasses.delete(request.workClass)
+    // If nothing of this work class waits, the request that found no server has ended, and its block with it.
+    if (queue.requests.sizeOf(request.workClass) === 0) queue.blockedWorkClasses.delete(request.workClass)
     queues.enqueue(request, request.weight, nowMs)
     this.#dispatchFromQueue(queue, nowMs)
-    if (queues.isOverLimit) this.#refuseLargestShare(request.spec.service)
+    if (queues.isOverLimit) this.#refuseFromLargestQueue(request.spec.service)
   }
 
   /** Sends waiting requests to servers whose capacity changed. */
@@ -86,13 +90,13 @@
     this.#freedServers.clear()
     if (!this.#isCapacityChanged) return
     this.#isCapacityChanged = false
-    queues.clearBlockedClasses()
+    queues.unblockWorkClasses()
     for (const queue of queues.nonEmpty()) this.#dispatchFromQueue(queue, nowMs)
   }
 
-  #dispatchFromQueue ({ requests, blockedClasses }: ServiceQueue, nowMs: number): void {
+  #dispatchFromQueue ({ requests, blockedWorkClasses }: ServiceQueue, nowMs: number): void {
     const { policy, random } = this.#options
-    this.#dispatchWhileCapacity(requests, blockedClasses, nowMs, selection => policy.choose(selection, random))
+    this.#dispatchWhileCapacity(requests, blockedWorkClasses, nowMs, context => policy.choose(context, random))
     if (requests.size > 0) this.#scheduleRecheck(nowMs)
   }
 
@@ -102,23 +106,24 @@
     for (const service of server.registration.record.services) {
       const queue = queues.find(service)
       if (queue === undefined || queue.requests.size === 0) continue
-      this.#dispatchWhileCapacity(queue.requests, new Set(), nowMs, selection =>
-        policy.accepts(server, selection) ? server : undefined)
+      // The blocks of the queue are older than the freed slot, and a refusal by this server says nothing about others.
+      this.#dispatchWhileCapacity(queue.requests, new Set(), nowMs, context =>
+        policy.accepts(server, context) ? server : undefined)
     }
   }
 
   #dispatchWhileCapacity (
-    requests: RequestQueue<OpenRequest>, blockedClasses: Set<WorkClass>, nowMs: number, selectServer: SelectServer
+    requests: RequestQueue<OpenRequest>, blockedWorkClasses: Set<WorkClass>, nowMs: number, selectServer: SelectServer
   ): void {
     const { queues, dispatch, refuse } = this.#options
     for (
-      let request = requests.peek(blockedClasses);
+      let request = requests.peek(blockedWorkClasses);
       request !== undefined;
-      request = requests.peek(blockedClasses)
+      request = requests.peek(blockedWorkClasses)
     ) {
-      const server = selectServer(this.#selectionFor(request, nowMs))
+      const server = selectServer(this.#selectionContextFor(request, nowMs))
       if (server === undefined) {
-        blockedClasses.add(request.workClass)
+        blockedWorkClasses.add(request.workClass)
       } else if (this.#wouldMissDeadline(request, nowMs)) {
         refuse(request, request.deadlineFailure())
       } else {
@@ -128,7 +133,7 @@
     }
   }
 
-  #selectionFor (request: OpenRequest, nowMs: number): Selection {
+  #selectionContextFor (request: OpenRequest, nowMs: number): SelectionContext {
     const { pool, loadExchange } = this.#options
     const { workClass, attemptedServerIds, spec, isIdempotent } = request
     const tiers = pool.tiersOf(spec.service)
@@ -142,7 +147,10 @@
     }
   }
 
-  /** Whether a waiting request would be answered after its deadline; sending it would only take a slot from others. */
+  /**
+   * Whether less time is left until the deadline than `startMarginFactor` times the typical service time, so that the
+   * request would only take a slot from others. As on admission, a request that does not have to wait is exempt.
+   */
   #wouldMissDeadline (request: OpenRequest, nowMs: number): boolean {
     if (nowMs === request.queuedAtMs) return false
     const { settings, serviceTimes } = this.#options
@@ -150,17 +158,24 @@
     return nowMs + requiredMs > request.deadlineAtMs
   }
 
-  /** Refuses a request of the organisation that holds most of the queue relative to its weight, not the newest one. */
-  #refuseLargestShare (service: string): void {
+  /**
+   * Refuses a request of the organisation with the largest queue relative to its weight, instead of the request that
+   * has just arrived. The limit applies to the queues of all services, but only the queue of `service` is searched.
+   */
+  #refuseFromLargestQueue (service: string): void {
     const { settings, queues, admission, refuse } = this.#options
-    const request = queues.getOrCreate(service).requests.lastOfLargestShare()
+    const request = queues.getOrCreate(service).requests.lastOfLargestQueue()
     if (request === undefined) return
     const retryAfterMs = admission.retryAfterMs(admission.expectedWaitMs(request.spec, request.weight))
-    const detail = `the queue holds the maximum of ${settings.maxQueuedRequests} requests`
+    const detail = `the queues of all services hold the maximum of ${settings.maxQueuedRequests} requests`
     refuse(request, failure('queue_full', detail, retryAfterMs))
   }
 
-  /** Counts reported by peers decay without an event, so blocked queues are checked again after `queueRecheckMs`. */
+  /**
+   * Checks blocked queues again after `queueRecheckMs`, as counts reported by peers decay without an event. The check
+   * also finds servers that took no waiting request when their slot was freed, as `RoutingPolicy.accepts` is stricter
+   * than `choose`.
+   */
   #scheduleRecheck (nowMs: number): void {
     const { settings, timers } = this.#options
     this.#recheckTimer ??= timers.set(nowMs + settings.queueRecheckMs, () => {
--- a/packages/routing/src/ejection.ts
+++ b/packages/routing/src/ejection.ts
@@ -18,14 +18,14 @@
   #recentEjections = 0
   #endsAtMs = -Infinity
   #state: 'in_service' | 'ejected' | 'probing' = 'in_service'
-  #failureLoad = 0
-  #failedAtMs = 0
+  #failureLoadAtLastFailure = 0
+  #lastFailureAtMs = 0
 
   constructor (settings: RoutingSettings) {
     this.#settings = settings
   }
 
-  /** When the last ejection period ends or ended. */
+  /** When the last ejection period ends or ended; -Infinity before the first ejection. */
   get endsAtMs (): number {
     return this.#endsAtMs
   }
@@ -36,8 +36,9 @@
 
   /** Load added for recent failures, in requests; it decays exponentially. */
   failureLoad (nowMs: number): number {
-    if (this.#failureLoad === 0) return 0
-    return this.#failureLoad * 0.5 ** ((nowMs - this.#failedAtMs) / this.#settings.failureLoadHalfLifeMs)
+    if (this.#failureLoadAtLastFailure === 0) return 0
+    return this.#failureLoadAtLastFailure *
+      0.5 ** ((nowMs - this.#lastFailureAtMs) / this.#settings.failureLoadHalfLifeMs)
   }
 
   /** Records that a request was sent; if a probe was due, this request is the probe. */
@@ -45,7 +46,10 @@
     if (this.state(nowMs) === 'probe_due') this.#state = 'probing'
   }
 
-  /** Records a success. Answers to requests sent before an ejection do not end the ejection. */
+  /**
+   * Records a success. During an ejection it is ignored, as the request was sent before; while a probe is in flight,
+   * the first result of any request to the server counts as that of the probe.
+   */
   recordSuccess (): void {
     if (this.#state === 'ejected') return
     this.#consecutiveFailures = 0
@@ -53,14 +57,14 @@
   }
 
   /**
-   * Records a failure. A failed probe always ejects the server again.
+   * Records a failure. A failed probe always ejects the server again, as the server already counts as out of service.
    *
-   * @param mayEject whether one more server may be ejected
+   * @param mayEject whether one more server may be out of service
    * @returns whether this failure ejected the server
    */
   recordFailure (nowMs: number, mayEject: boolean): boolean {
-    this.#failureLoad = this.failureLoad(nowMs) + this.#settings.failureLoadRequests
-    this.#failedAtMs = nowMs
+    this.#failureLoadAtLastFailure = this.failureLoad(nowMs) + this.#settings.failureLoadRequests
+    this.#lastFailureAtMs = nowMs
     this.#consecutiveFailures++
     if (this.#state === 'ejected') return false
     const isProbe = this.#state === 'probing'
--- a/packages/routing/src/load-exchange.ts
+++ b/packages/routing/src/load-exchange.ts
@@ -16,7 +16,10 @@
     this.#reporter = new LoadReporter(settings)
   }
 
-  /** Number of entry VMs that share the servers, including this one. */
+  /**
+   * Number of entry VMs that share the servers: this one and the peers whose load reports are recent. Peers that became
+   * silent for `peerForgetAfterMs` are removed when a report of any peer arrives.
+   */
   get entryVmCount (): number {
     return this.#lastReportAtMsByPeer.size + 1
   }
@@ -27,7 +30,10 @@
     return this.#reporter.nextReport([...this.#pool.all()].map(server => server.toLoadEntry()), nowMs, maxBytesHint)
   }
 
-  /** Applies a report of a peer; entries of unknown servers are ignored. */
+  /**
+   * Applies a report of a peer. Entries are ignored for servers without a state in the pool, which includes registered
+   * servers of services that no request has asked for yet, and after the first `maxLoadReportEntries`.
+   */
   applyPeerReport (nodeId: string, report: LoadReport, nowMs: number): void {
     this.#removeSilentPeers(nowMs)
     this.#lastReportAtMsByPeer.set(nodeId, nowMs)
--- a/packages/routing/src/open-request.ts
+++ b/packages/routing/src/open-request.ts
@@ -6,17 +6,20 @@
 import type { WorkClass } from './service-time-estimator.js'
 import type { Timer } from './timer-heap.js'
 
-/** Why a request is retried; also the tag of the `retry` counter. */
+/** Why a request is retried; also the label `reason` of the `retry` counter. */
 export type RetryReason = AttemptFailureReason | 'server_error'
 
 /** Phase in the life cycle of a request. An ended request is kept while an attempt or a claim decision is pending. */
 export type RequestPhase = 'claiming' | 'queued' | 'backing_off' | 'running' | 'ended'
 
-/** State of the claim that a non-repeatable request with an idempotency key needs before its first attempt. */
+/**
+ * State of the claim that a non-repeatable request with an idempotency key needs before its first attempt; `none` if no
+ * claim is needed or the claim was refused.
+ */
 export type ClaimState = 'none' | 'pending' | 'granted' | 'settled'
 
 /** What is known about whether the backend server executed an attempt; `open` while the attempt is in flight. */
-export type AttemptResolution = 'open' | 'not_run' | 'may_have_run'
+export type ExecutionStatus = 'open' | 'not_run' | 'may_have_run'
 
 /** One dispatch of a request to a backend server. */
 export interface Attempt {
@@ -24,7 +27,7 @@
   readonly server: ServerState
   readonly workClass: WorkClass
   readonly startedAtMs: number
-  resolution: AttemptResolution
+  executionStatus: ExecutionStatus
   failureReason?: RetryReason
   timer?: Timer
 }
@@ -73,7 +76,7 @@
 
   /** Whether any attempt ran or may still run. Only if this is false may the outcome be reported as `not_run`. */
   get mayHaveRun (): boolean {
-    return this.#attempts.some(attempt => attempt.resolution !== 'not_run')
+    return this.#attempts.some(attempt => attempt.executionStatus !== 'not_run')
   }
 
   /** Whether another attempt is safe: it cannot execute a non-repeatable request a second time. */
@@ -84,7 +87,7 @@
   /** The attempt whose result has not been reported yet, if any. */
   get openAttempt (): Attempt | undefined {
     const last = this.#attempts.at(-1)
-    return last?.resolution === 'open' ? last : undefined
+    return last?.executionStatus === 'open' ? last : undefined
   }
 
   /** The attempt with the given number, starting at 1. */
@@ -99,18 +102,19 @@
       server,
       workClass: this.workClass,
       startedAtMs: nowMs,
-      resolution: 'open'
+      executionStatus: 'open'
     }
     this.#attempts.push(attempt)
     this.phase = 'running'
     return attempt
   }
 
-  /** The failure to report: `notRunFailure` if no attempt may have run, otherwise one that tells that it may have. */
+  /** `notRunFailure` if no attempt may have run, otherwise a failure which states that the request may have run. */
   outcomeFailure (notRunFailure: Failure): Failure {
     if (!this.mayHaveRun) return notRunFailure
+    // The default applies if the only attempt that may have run is still open.
     const reason =
-      this.#attempts.findLast(attempt => attempt.resolution === 'may_have_run')?.failureReason ?? 'attempt_timeout'
+      this.#attempts.findLast(attempt => attempt.executionStatus === 'may_have_run')?.failureReason ?? 'attempt_timeout'
     const detail = `attempt failed with ${reason} after the request may have been sent; it may have been executed`
     return failure(reason === 'server_error' ? 'backend_failed' : 'outcome_unknown', detail)
   }
@@ -119,7 +123,7 @@
   deadlineFailure (): Failure {
     if (this.isRetryBudgetExhausted) return failure('retry_budget_exhausted', 'the retry budget stayed empty until the deadline')
     if (this.attemptCount > 0) return failure('backend_unreachable', `${this.attemptCount} attempts failed before the request was executed`)
-    return failure('deadline_exceeded', `the deadline passed or could no longer be met while the request was in phase ${this.phase}`)
+    return failure('deadline_exceeded', `the deadline passed or could no longer be met before the request was sent (phase ${this.phase})`)
   }
 
   /** Outcome to record for the claim if the request ends without a successful answer. */
@@ -135,6 +139,6 @@
  * @example
  * resolutionOfFailure('maybe_sent', 'rejected') // 'not_run'
  */
-export function resolutionOfFailure (progress: SendProgress, reason: AttemptFailureReason): AttemptResolution {
+export function executionStatusOfFailure (progress: SendProgress, reason: AttemptFailureReason): ExecutionStatus {
   return progress === 'not_sent' || reason === 'rejected' ? 'not_run' : 'may_have_run'
 }
--- a/packages/routing/src/peer-load.ts
+++ b/packages/routing/src/peer-load.ts
@@ -5,7 +5,7 @@
 export interface LoadEntry {
   readonly backendServerId: string
   readonly inFlight: number
-  /** Number of these requests that are of a long class. */
+  /** Number of these requests that are long work. */
   readonly longInFlight: number
 }
 
@@ -14,10 +14,10 @@
   readonly entries: readonly LoadEntry[]
 }
 
-/** Estimated size of an entry in JSON without its ID: field names and small numbers. */
+/** Estimated size of an entry in JSON without its ID, which counts with its length: field names and small numbers. */
 const ENTRY_BYTES = 60
 /** Estimated size of a report in JSON without entries. */
-const REPORT_BYTES = 16
+const REPORT_OVERHEAD_BYTES = 16
 
 /** A sum of counts with exponential decay. */
 class DecayingCount {
@@ -48,8 +48,8 @@
 interface ReportedEntry { entry: LoadEntry, atMs: number }
 
 /**
- * Requests that the peers of an entry VM have in flight to one backend server. All counts of a class decay with the
- * same half-life, so only their sum is kept. Long requests outlast short ones, so their counts decay more slowly.
+ * Requests that the peers of an entry VM have in flight to one backend server. All counts of a work class decay with
+ * the same half-life, so only their sum is kept. Long requests outlast short ones, so their counts decay more slowly.
  */
 export class PeerLoad {
   readonly #short: DecayingCount
@@ -71,7 +71,7 @@
     else this.#lastReportByPeer.set(nodeId, { entry, atMs: nowMs })
   }
 
-  /** Removes a peer; the counts it reported are left to decay. */
+  /** Removes a peer whose counts have largely decayed; what is left of them decays further. */
   removePeer (nodeId: string): void {
     this.#lastReportByPeer.delete(nodeId)
   }
@@ -101,8 +101,8 @@
   }
 
   /**
-   * Returns the entries that changed since they were last sent, largest change first. Unchanged entries are repeated
-   * after half a half-life, before their counts decay too far at the peers.
+   * Returns the entries that changed since they were last sent, largest change of `inFlight` first. Unchanged entries
+   * are repeated after half a half-life, before their counts decay too far at the peers.
    *
    * @param maxBytesHint size that the encoded report should not exceed
    */
@@ -110,7 +110,7 @@
     const due = current.filter(entry => this.#isDue(entry, nowMs))
     due.sort((left, right) => this.#changeSinceSent(right) - this.#changeSinceSent(left))
     const entries: LoadEntry[] = []
-    let bytes = REPORT_BYTES
+    let bytes = REPORT_OVERHEAD_BYTES
     for (const entry of due.slice(0, this.#settings.maxLoadReportEntries)) {
       bytes += ENTRY_BYTES + entry.backendServerId.length
       if (bytes > maxBytesHint) break
--- a/packages/routing/src/policy.ts
+++ b/packages/routing/src/policy.ts
@@ -3,8 +3,8 @@
 import type { ServerState, LocalityTiers } from './server-pool.js'
 import type { WorkClass } from './service-time-estimator.js'
 
-/** Input of a policy: the request, the servers of its service and the current time. */
-export interface Selection {
+/** Input of a policy: properties of the request, the servers of its service and the current time. */
+export interface SelectionContext {
   readonly tiers: LocalityTiers
   readonly workClass: WorkClass
   /**
@@ -14,7 +14,7 @@
   readonly isProbeSafe: boolean
   /** Servers on which earlier attempts failed; used again only if no other server has capacity. */
   readonly attemptedServerIds: ReadonlySet<string>
-  /** Number of entry VMs that share the servers, including this one. */
+  /** Number of entry VMs that share the servers: this one and the peers whose load reports are recent. */
   readonly entryVmCount: number
   readonly nowMs: number
 }
@@ -22,9 +22,9 @@
 /** Decides which backend server gets a request, or that the request has to wait. */
 export abstract class RoutingPolicy {
   /** Returns the server for a request, or undefined if no server can take it now. */
-  abstract choose (selection: Selection, random: Random): ServerState | undefined
-  /** Whether a server with a freed slot may take a waiting request. */
-  abstract accepts (server: ServerState, selection: Selection): boolean
+  abstract choose (context: SelectionContext, random: Random): ServerState | undefined
+  /** Whether a server with a freed slot may take a waiting request. Other servers are not considered. */
+  abstract accepts (server: ServerState, context: SelectionContext): boolean
 }
 
 /**
@@ -42,17 +42,21 @@
     this.#randomChoices = randomChoices
   }
 
-  override choose (selection: Selection, random: Random): ServerState | undefined {
-    return this.#chooseByTier(selection, random, isPreferred) ?? this.#chooseByTier(selection, random, isAvailable)
+  override choose (context: SelectionContext, random: Random): ServerState | undefined {
+    return this.#chooseByTier(context, random, isPreferred) ?? this.#chooseByTier(context, random, isAvailable)
   }
 
-  override accepts (server: ServerState, selection: Selection): boolean {
-    return isPreferred(server, selection)
+  /**
+   * A freed slot is not given to a request that may use this server only if no other server has capacity, as the other
+   * servers are not searched here. `choose` searches them all and falls back to this server.
+   */
+  override accepts (server: ServerState, context: SelectionContext): boolean {
+    return isPreferred(server, context)
   }
 
-  #chooseByTier (selection: Selection, random: Random, filter: ServerFilter): ServerState | undefined {
-    for (const tier of selection.tiers) {
-      const chosen = this.#chooseInTier(tier, selection, random, filter)
+  #chooseByTier (context: SelectionContext, random: Random, filter: ServerFilter): ServerState | undefined {
+    for (const tier of context.tiers) {
+      const chosen = this.#chooseInTier(tier, context, random, filter)
       if (chosen !== undefined) return chosen
     }
     return undefined
@@ -60,15 +64,15 @@
 
   /** If none of the random servers has capacity, searches the whole tier from a random position. */
   #chooseInTier (
-    tier: readonly ServerState[], selection: Selection, random: Random, filter: ServerFilter
+    tier: readonly ServerState[], context: SelectionContext, random: Random, filter: ServerFilter
   ): ServerState | undefined {
     if (tier.length === 0) return undefined
     let best: ServerState | undefined
     for (let draw = 0; draw < this.#randomChoices; draw++) {
       const server = tier[random.nextInt(0, tier.length - 1)]!
-      if (filter(server, selection)) best = lessLoaded(best, server, selection.nowMs)
+      if (filter(server, context)) best = lessLoaded(best, server, context.nowMs)
     }
-    return best ?? findFrom(tier, random.nextInt(0, tier.length - 1), server => filter(server, selection))
+    return best ?? findFrom(tier, random.nextInt(0, tier.length - 1), server => filter(server, context))
   }
 }
 
@@ -76,29 +80,29 @@
 export class RoundRobinPolicy extends RoutingPolicy {
   #nextIndex = 0
 
-  override choose (selection: Selection): ServerState | undefined {
-    const servers = selection.tiers.flat().filter(server => server.isServing(selection.nowMs))
+  override choose (context: SelectionContext): ServerState | undefined {
+    const servers = context.tiers.flat().filter(server => server.isServing(context.nowMs))
     return servers[this.#nextIndex++ % servers.length]
   }
 
-  override accepts (server: ServerState, selection: Selection): boolean {
-    return server.isServing(selection.nowMs)
+  override accepts (server: ServerState, context: SelectionContext): boolean {
+    return server.isServing(context.nowMs)
   }
 }
 
-type ServerFilter = (server: ServerState, selection: Selection) => boolean
+type ServerFilter = (server: ServerState, context: SelectionContext) => boolean
 
-function isAvailable (server: ServerState, selection: Selection): boolean {
-  const { workClass, entryVmCount, nowMs } = selection
+function isAvailable (server: ServerState, context: SelectionContext): boolean {
+  const { workClass, entryVmCount, nowMs } = context
   if (!server.hasCapacity(workClass, entryVmCount, nowMs) || !server.isServing(nowMs)) return false
   const state = server.ejection.state(nowMs)
   return state === 'in_service' || state === 'probe_due'
 }
 
-function isPreferred (server: ServerState, selection: Selection): boolean {
-  if (selection.attemptedServerIds.has(server.id)) return false
-  if (!selection.isProbeSafe && server.ejection.state(selection.nowMs) === 'probe_due') return false
-  return isAvailable(server, selection)
+function isPreferred (server: ServerState, context: SelectionContext): boolean {
+  if (context.attemptedServerIds.has(server.id)) return false
+  if (!context.isProbeSafe && server.ejection.state(context.nowMs) === 'probe_due') return false
+  return isAvailable(server, context)
 }
 
 function lessLoaded (left: ServerState | undefined, right: ServerState, nowMs: number): ServerState {
--- a/packages/routing/src/registry.ts
+++ b/packages/routing/src/registry.ts
@@ -28,6 +28,9 @@
   changedAtVersion: number
 }
 
+/**
+ * Time without a heartbeat after which a server is removed once another is added; until then, it is listed as expired.
+ */
 const DEFAULT_REMOVE_AFTER_MS = 60_000
 
 /**
@@ -37,7 +40,7 @@
  * @example
  * const registry = new BackendRegistry(3_000)
  * registry.announce(record, clock.monotonicMs())
- * registry.activeRecords('print', clock.monotonicMs())
+ * registry.servingRecords('print', clock.monotonicMs())
  */
 export class BackendRegistry {
   readonly #expireAfterMs: number
@@ -52,7 +55,10 @@
     this.#removeAfterMs = Math.max(removeAfterMs, expireAfterMs)
   }
 
-  /** Incremented when a server is added, becomes fresh again, changes anything but its sequence, or drains change. */
+  /**
+   * Incremented when a server is added, a newer record changes more than its sequence or follows its expiry, it starts
+   * to leave, or the draining servers are set. Expiry does not increment it.
+   */
   get membershipVersion (): number {
     return this.#membershipVersion
   }
@@ -67,11 +73,11 @@
     const lastHeartbeatAtMs = nowMs - ageMs
     const server = this.#servers.get(record.backendServerId)
     if (server === undefined) return this.#add(record, lastHeartbeatAtMs, nowMs)
-    const order = compareRecordVersions(record, server.record)
-    if (order < 0) return this.#applyOlderRecord(server, record)
+    const order = compareIncarnationAndSequence(record, server.record)
+    if (order < 0) return this.#applyIfLeaving(server, record)
     if (order === 0) {
       server.lastHeartbeatAtMs = Math.max(server.lastHeartbeatAtMs, lastHeartbeatAtMs)
-      return this.#applyOlderRecord(server, record)
+      return this.#applyIfLeaving(server, record)
     }
     this.#replace(server, record, lastHeartbeatAtMs, nowMs)
     return true
@@ -95,7 +101,7 @@
   }
 
   /** Records of the backend servers that may receive new requests of a service. */
-  activeRecords (service: string, nowMs: number): BackendServerRecord[] {
+  servingRecords (service: string, nowMs: number): BackendServerRecord[] {
     return this.serversOf(service).filter(server => this.isServing(server, nowMs)).map(server => server.record)
   }
 
@@ -153,7 +159,7 @@
   }
 
   /** State `leaving` is final within an incarnation, so it applies even if the record that states it arrives late. */
-  #applyOlderRecord (server: MutableRegisteredServer, record: BackendServerRecord): boolean {
+  #applyIfLeaving (server: MutableRegisteredServer, record: BackendServerRecord): boolean {
     const isSameIncarnation = record.incarnation === server.record.incarnation
     if (!isSameIncarnation || record.state !== 'leaving' || server.record.state === 'leaving') return false
     server.record = { ...server.record, state: 'leaving' }
@@ -169,7 +175,7 @@
   }
 }
 
-function compareRecordVersions (left: BackendServerRecord, right: BackendServerRecord): number {
+function compareIncarnationAndSequence (left: BackendServerRecord, right: BackendServerRecord): number {
   if (left.incarnation !== right.incarnation) return left.incarnation - right.incarnation
   return left.sequence - right.sequence
 }
--- a/packages/routing/src/request-queue.ts
+++ b/packages/routing/src/request-queue.ts
@@ -12,7 +12,7 @@
   readonly expectedServiceTimeMs: number
 }
 
-/** Requests of one organisation and class, earliest deadline first. */
+/** Requests of one organisation and work class, earliest deadline first. */
 class OrganisationQueue<Item extends QueueItem> {
   readonly weight: number
   readonly #items: Item[] = []
@@ -71,8 +71,8 @@
   }
 }
 
-/** Requests of one class, shared fairly between organisations. */
-class ClassQueue<Item extends QueueItem> {
+/** Requests of one work class, shared fairly between organisations. */
+class WorkClassQueue<Item extends QueueItem> {
   readonly #queuesByOrganisation = new Map<string, OrganisationQueue<Item>>()
   readonly #scheduler: DeficitRoundRobin
   readonly #serviceRate: ServiceRateEstimator
@@ -83,6 +83,9 @@
     this.#serviceRate = new ServiceRateEstimator(settings.rateWindowMs)
   }
 
+  /**
+   * Adds a request. A changed weight of its organisation takes effect once none of its requests is left in the queue.
+   */
   enqueue (item: Item, weight: number, nowMs: number): void {
     if (this.size++ === 0) this.#serviceRate.startWindow(nowMs)
     let queue = this.#queuesByOrganisation.get(item.organisationId)
@@ -121,6 +124,7 @@
   expectedWaitMs (organisationId: string, weight: number, deadlineAtMs: number): number | undefined {
     const rate = this.#serviceRate.serviceMsPerMs
     if (this.size === 0 || rate === undefined) return undefined
+    // `Number.MIN_VALUE` avoids 0 / 0: the rate is 0 if all requests that left the queue took 0 ms.
     const ownMs = this.#queuesByOrganisation.get(organisationId)?.serviceTimeAheadMs(deadlineAtMs) ?? 0
     return (ownMs + this.#competingServiceTimeMs(organisationId, ownMs / weight)) / Math.max(rate, Number.MIN_VALUE)
   }
@@ -138,16 +142,16 @@
   }
 
   /** Yields each organisation's queue size relative to its weight, with its request of the latest deadline. */
-  * relativeShares (): Generator<{ share: number, last: Item }> {
+  * relativeQueueSizes (): Generator<{ relativeSize: number, last: Item }> {
     for (const queue of this.#queuesByOrganisation.values()) {
-      if (queue.last !== undefined) yield { share: queue.size / queue.weight, last: queue.last }
+      if (queue.last !== undefined) yield { relativeSize: queue.size / queue.weight, last: queue.last }
     }
   }
 }
 
 /**
  * Queue of one service: earliest deadline first within an organisation, weighted fair between organisations, and least
- * laxity first between short and long classes. Long requests have distant deadlines, so they wait during a load peak
+ * laxity first between short and long work. Long requests have distant deadlines, so they wait during a load peak
  * and are served after it.
  *
  * @example
@@ -156,56 +160,65 @@
  * if (next !== undefined) queue.dequeue(next, nowMs)
  */
 export class RequestQueue<Item extends QueueItem> {
-  readonly #queuesByClass: Readonly<Record<WorkClass, ClassQueue<Item>>>
+  readonly #queuesByWorkClass: Readonly<Record<WorkClass, WorkClassQueue<Item>>>
 
   constructor (settings: RoutingSettings) {
-    this.#queuesByClass = { short: new ClassQueue(settings), long: new ClassQueue(settings) }
+    this.#queuesByWorkClass = { short: new WorkClassQueue(settings), long: new WorkClassQueue(settings) }
   }
 
   /** Number of waiting requests. */
   get size (): number {
-    return this.#queuesByClass.short.size + this.#queuesByClass.long.size
+    return this.#queuesByWorkClass.short.size + this.#queuesByWorkClass.long.size
   }
 
-  /** Number of waiting requests of a class. */
+  /** Number of waiting requests of a work class. */
   sizeOf (workClass: WorkClass): number {
-    return this.#queuesByClass[workClass].size
+    return this.#queuesByWorkClass[workClass].size
   }
 
-  /** Adds a request of an organisation with the given weight. */
+  /**
+   * Adds a request of an organisation with the given weight. While requests of the organisation and the same work class
+   * are waiting, their weight applies.
+   */
   enqueue (item: Item, weight: number, nowMs: number): void {
-    this.#queuesByClass[item.workClass].enqueue(item, weight, nowMs)
+    this.#queuesByWorkClass[item.workClass].enqueue(item, weight, nowMs)
   }
 
-  /** Returns the request to serve next, of a class that is not blocked, without removing it. */
-  peek (blockedClasses: ReadonlySet<WorkClass>): Item | undefined {
-    const short = blockedClasses.has('short') ? undefined : this.#queuesByClass.short.peek()
-    const long = blockedClasses.has('long') ? undefined : this.#queuesByClass.long.peek()
+  /** Returns the request to serve next, of a work class that is not blocked, without removing it. */
+  peek (blockedWorkClasses: ReadonlySet<WorkClass>): Item | undefined {
+    const short = blockedWorkClasses.has('short') ? undefined : this.#queuesByWorkClass.short.peek()
+    const long = blockedWorkClasses.has('long') ? undefined : this.#queuesByWorkClass.long.peek()
     if (short === undefined || long === undefined) return short ?? long
     return latestStartAtMs(long) < latestStartAtMs(short) ? long : short
   }
 
   /** Removes a request to send it to a server. */
   dequeue (item: Item, nowMs: number): void {
-    this.#queuesByClass[item.workClass].dequeue(item, nowMs)
+    this.#queuesByWorkClass[item.workClass].dequeue(item, nowMs)
   }
 
   /** Removes a request that ended while it was queued. */
   remove (item: Item): void {
-    this.#queuesByClass[item.workClass].remove(item)
+    this.#queuesByWorkClass[item.workClass].remove(item)
   }
 
-  /** Expected wait of a new request, or undefined if its class is empty or the service rate is not known yet. */
+  /**
+   * Expected wait of a new request among those of its work class, or undefined if none of them waits or their service
+   * rate is not known yet.
+   */
   expectedWaitMs (item: QueueItem, weight: number): number | undefined {
-    return this.#queuesByClass[item.workClass].expectedWaitMs(item.organisationId, weight, item.deadlineAtMs)
+    return this.#queuesByWorkClass[item.workClass].expectedWaitMs(item.organisationId, weight, item.deadlineAtMs)
   }
 
-  /** Returns the request with the latest deadline of the organisation with the largest queue relative to its weight. */
-  lastOfLargestShare (): Item | undefined {
-    let largest: { share: number, last: Item } | undefined
-    for (const queue of [this.#queuesByClass.short, this.#queuesByClass.long]) {
-      for (const each of queue.relativeShares()) {
-        if (largest === undefined || each.share > largest.share) largest = each
+  /**
+   * Returns the request with the latest deadline from the largest queue relative to its organisation's weight. The
+   * short and the long requests of an organisation are separate queues.
+   */
+  lastOfLargestQueue (): Item | undefined {
+    let largest: { relativeSize: number, last: Item } | undefined
+    for (const queue of [this.#queuesByWorkClass.short, this.#queuesByWorkClass.long]) {
+      for (const each of queue.relativeQueueSizes()) {
+        if (largest === undefined || each.relativeSize > largest.relativeSize) largest = each
       }
     }
     return largest?.last
--- a/packages/routing/src/retry-budgets.ts
+++ b/packages/routing/src/retry-budgets.ts
@@ -1,7 +1,7 @@
 /** Retry budgets, which keep retries from multiplying the load on a failing service. */
 import type { RoutingSettings } from './settings.js'
 
-/** A token bucket filled by requests and, at a low rate, over time. */
+/** A token bucket filled by requests and, at a low rate, over time. It is full at first. */
 class TokenBucket {
   readonly #maxTokens: number
   readonly #tokensPerSecond: number
@@ -19,6 +19,7 @@
     this.#tokens = Math.min(this.#maxTokens, this.#tokens + tokens)
   }
 
+  /** Adds the tokens earned since the last call, and returns whether a token is left. */
   hasToken (nowMs: number): boolean {
     this.deposit((nowMs - this.#lastRefillAtMs) / 1000 * this.#tokensPerSecond)
     this.#lastRefillAtMs = nowMs
@@ -52,7 +53,7 @@
     this.#totalBucket(nowMs).deposit(this.#settings.retryBudgetPerRequest)
   }
 
-  /** Withdraws one retry from both budgets, or nothing and returns false if either is empty. */
+  /** Withdraws one token from both budgets, or nothing and returns false if either is empty. */
   tryWithdraw (organisationId: string, nowMs: number): boolean {
     const organisationBucket = this.#organisationBucket(organisationId, nowMs)
     const totalBucket = this.#totalBucket(nowMs)
@@ -62,7 +63,7 @@
     return true
   }
 
-  /** Removes the budgets of organisations that are no longer configured. */
+  /** Removes the budgets of organisations that are not keys of `organisations`, those no longer configured. */
   retainOrganisations (organisations: ReadonlyMap<string, number>): void {
     for (const id of this.#bucketsByOrganisation.keys()) {
       if (!organisations.has(id)) this.#bucketsByOrganisation.delete(id)
--- a/packages/routing/src/router.ts
+++ b/packages/routing/src/router.ts
@@ -1,4 +1,4 @@
-/** Routing of the requests of one entry VM to backend servers. */
+/** Routing of the requests of one entry VM, the node that accepts requests from callers, to backend servers. */
 import {
   failure, type Failure, type Metrics, type Random, type RequestSpec, type SendProgress
 } from '@comfreygrade/core'
@@ -7,7 +7,7 @@
 import type { AnswerStatus, AttemptFailureReason, ClaimDecision, ClaimOutcome, RoutingEffect, RoutingEvent } from './events.js'
 import { Dispatcher } from './dispatcher.js'
 import { LoadExchange } from './load-exchange.js'
-import { OpenRequest, resolutionOfFailure, type Attempt, type AttemptResolution, type RetryReason } from './open-request.js'
+import { OpenRequest, executionStatusOfFailure, type Attempt, type ExecutionStatus, type RetryReason } from './open-request.js'
 import type { LoadReport } from './peer-load.js'
 import type { RoutingPolicy } from './policy.js'
 import type { BackendRegistry } from './registry.js'
@@ -36,8 +36,8 @@
  * when the timer fires, it sends a `tick`.
  *
  * The front end gives every request an ID that no other open request has, answers every `claim` with `claim_decided`
- * and reports the end of every `dispatch`. The router replaces a missing report by a timeout, but waits for a claim
- * decision without limit.
+ * and reports the end of every `dispatch`. The router replaces a missing report by a timeout. A missing claim decision
+ * is not replaced: the request is refused at its deadline, but it is held until the decision arrives.
  *
  * @example
  * const router = new RequestRouter({ settings, registry, policy, random, metrics, location })
@@ -61,7 +61,7 @@
   #weights: ReadonlyMap<string, number> = new Map()
   #effects: RoutingEffect[] = []
   #openRequestCount = 0
-  #isDraining = false
+  #isShuttingDown = false
   #lastEventAtMs = 0
 
   constructor (options: RequestRouterOptions) {
@@ -91,7 +91,10 @@
     })
   }
 
-  /** Number of requests without an outcome or with a pending claim decision; a drain is complete when it is 0. */
+  /**
+   * Number of requests without an outcome or with a pending claim decision; a shutdown may proceed when it is 0.
+   * Requests that have an outcome but still a pending attempt are not counted, though `maxOpenRequests` includes them.
+   */
   get openRequests (): number {
     return this.#openRequestCount
   }
@@ -118,18 +121,26 @@
     return this.#effects
   }
 
-  /** When the front end has to send the next `tick`; undefined if none is needed. */
+  /**
+   * When the front end has to send the next `tick`, or undefined if none is needed. A time that is not in the future
+   * means at once.
+   */
   nextWakeAtMs (): number | undefined {
     if (this.#dispatcher.isDispatchDue) return this.#lastEventAtMs
     return this.#timers.nextAtMs()
   }
 
-  /** Creates the next load report for the peers; an empty report need not be sent. */
+  /**
+   * Creates the next load report for the peers. Its entries count as sent, so the next call returns other entries. An
+   * empty report need not be sent.
+   *
+   * @param maxBytesHint size that the encoded report should not exceed
+   */
   loadReport (maxBytesHint: number, nowMs: number): LoadReport {
     return this.#loadExchange.nextReport(maxBytesHint, nowMs)
   }
 
-  /** Applies a load report of a peer. */
+  /** Applies the load report of a peer; waiting requests are checked at the next event. */
   peerLoad (nodeId: string, report: LoadReport, nowMs: number): void {
     this.#loadExchange.applyPeerReport(nodeId, report, nowMs)
     this.#dispatcher.markCapacityChanged()
@@ -149,6 +160,7 @@
   }
 
   #onArrived (spec: RequestSpec, nowMs: number): void {
+    // The first request with this ID is still held and gets the only outcome for the ID.
     if (this.#requests.has(spec.requestId)) return this.#metrics.increment('duplicate_request')
     const refusal = this.#arrivalRefusal(spec, nowMs)
     if (refusal !== undefined) return this.#emitRefusal(spec.requestId, refusal)
@@ -157,6 +169,7 @@
     this.#requests.set(spec.requestId, request)
     this.#openRequestCount++
     request.deadlineTimer = this.#timers.set(spec.deadlineAtMs, () => this.#onDeadline(request))
+    // Without an idempotency key there is nothing to claim; only attempts of this request are kept from running twice.
     if (request.isIdempotent || spec.idempotencyKey === undefined) return this.#enqueue(request, nowMs)
     request.phase = 'claiming'
     request.claim = 'pending'
@@ -165,7 +178,7 @@
 
   #arrivalRefusal (spec: RequestSpec, nowMs: number): Failure | undefined {
     const { organisationId, service, deadlineAtMs } = spec
-    if (this.#isDraining) return failure('shutting_down', 'this entry VM is shutting down and accepts no new requests')
+    if (this.#isShuttingDown) return failure('shutting_down', 'this entry VM is shutting down and accepts no new requests')
     const weight = this.#weights.get(organisationId)
     if (weight === undefined) return failure('unknown_organisation', `organisation ${organisationId} is not configured`)
     if (deadlineAtMs <= nowMs) return failure('deadline_exceeded', 'the deadline had already passed on arrival')
@@ -173,7 +186,7 @@
       return failure('no_backend_server', `no backend server has announced service ${service}`)
     }
     if (this.#requests.size >= this.#settings.maxOpenRequests) {
-      const detail = `${this.#requests.size} requests are open, the limit is ${this.#settings.maxOpenRequests}`
+      const detail = `${this.#requests.size} requests are held, the limit is ${this.#settings.maxOpenRequests}`
       return failure('queue_full', detail)
     }
     return this.#admission.refusalFor(spec, weight, nowMs)
@@ -188,7 +201,7 @@
     this.#enqueue(request, nowMs)
   }
 
-  /** Handles the claim decision of a request that ended before it, and was therefore never dispatched. */
+  /** Handles the claim decision of a request that ended before the decision, and was therefore never dispatched. */
   #onClaimDecidedAfterEnd (request: OpenRequest): void {
     this.#openRequestCount--
     this.#settleClaim(request, 'not_run')
@@ -210,6 +223,7 @@
     const attempt = request.beginAttempt(server, nowMs)
     server.recordDispatch(attempt.workClass, nowMs)
     const timeoutAtMs = this.#attemptTiming.timeoutAtMs(request, nowMs)
+    // A missing report counts as a timeout; the grace period lets the report of the front end arrive first.
     const reportDeadlineAtMs = timeoutAtMs + this.#settings.attemptReportGraceMs
     attempt.timer = this.#timers.set(reportDeadlineAtMs, firedAtMs =>
       this.#onAttemptFailed(
@@ -228,7 +242,7 @@
     const request = this.#requests.get(requestId)
     const attempt = request?.attemptByNumber(attemptNumber)
     if (request === undefined || attempt === undefined) return
-    if (attempt.resolution !== 'open') return this.#onLateAnswer(request, attempt, status, nowMs)
+    if (attempt.executionStatus !== 'open') return this.#onLateAnswer(request, attempt, status, nowMs)
     this.#closeAttempt(request, attempt, 'may_have_run')
     if (status === 'success') this.#attemptObserver.recordSuccess(attempt, request.spec, nowMs)
     else this.#observeFailure(attempt, request.spec, 'server_error', nowMs)
@@ -237,15 +251,21 @@
     this.#answer(request, attempt, status)
   }
 
-  /** A late success of a timed-out or disconnected attempt still answers an idempotent request that has no outcome. */
+  /**
+   * Answers an idempotent request that has no outcome with the late success of an attempt that had timed out or whose
+   * connection was lost.
+   */
   #onLateAnswer (request: OpenRequest, attempt: Attempt, status: AnswerStatus, nowMs: number): void {
     const isUsable = request.phase !== 'ended' && request.isIdempotent && status === 'success'
-    if (!isUsable || attempt.resolution !== 'may_have_run' || attempt.failureReason === 'server_error') return
+    if (!isUsable || attempt.executionStatus !== 'may_have_run' || attempt.failureReason === 'server_error') return
     this.#serviceTimes.observe(request.spec.requestClass, nowMs - attempt.startedAtMs)
     this.#answer(request, attempt, status)
   }
 
-  /** Schedules a retry after a server error. If it returns false, the error is passed to the caller as the answer. */
+  /**
+   * Schedules a retry after a server error, or returns false to pass the error to the caller as the answer. Unlike
+   * other failures, a server error is already an answer, so the retry does not wait for the retry budget.
+   */
   #tryRetryServerError (request: OpenRequest, attempt: Attempt, nowMs: number): boolean {
     if (!request.isIdempotent || request.isCallerDisconnected) return false
     const delayMs = this.#attemptTiming.backoffMs(request.attemptCount)
@@ -263,16 +283,16 @@
   ): void {
     const request = this.#requests.get(requestId)
     const attempt = request?.attemptByNumber(attemptNumber)
-    if (request === undefined || attempt === undefined || attempt.resolution !== 'open') return
+    if (request === undefined || attempt === undefined || attempt.executionStatus !== 'open') return
     attempt.failureReason = reason
-    this.#closeAttempt(request, attempt, resolutionOfFailure(progress, reason))
+    this.#closeAttempt(request, attempt, executionStatusOfFailure(progress, reason))
     this.#observeFailure(attempt, request.spec, reason, nowMs)
     if (request.phase === 'ended') return this.#removeIfDone(request)
     this.#retryOrRefuse(request, reason, nowMs)
   }
 
-  #closeAttempt (request: OpenRequest, attempt: Attempt, resolution: AttemptResolution): void {
-    attempt.resolution = resolution
+  #closeAttempt (request: OpenRequest, attempt: Attempt, executionStatus: ExecutionStatus): void {
+    attempt.executionStatus = executionStatus
     attempt.server.recordEnd(attempt.workClass)
     request.attemptedServerIds.add(attempt.server.id)
     this.#timers.cancel(attempt.timer)
@@ -300,6 +320,7 @@
   #onBackoffEnded (request: OpenRequest, reason: RetryReason, nowMs: number): void {
     request.isRetryBudgetExhausted = !this.#retryBudgets.tryWithdraw(request.organisationId, nowMs)
     if (!request.isRetryBudgetExhausted) return this.#retry(request, reason, nowMs)
+    // With full jitter the backoff may be close to 0, so that the budget would be checked in a tight loop.
     const delayMs = Math.max(this.#settings.backoffBaseMs, this.#attemptTiming.backoffMs(request.attemptCount))
     request.backoffTimer = this.#timers.set(nowMs + delayMs, firedAtMs =>
       this.#onBackoffEnded(request, reason, firedAtMs))
@@ -324,11 +345,12 @@
     this.#refuse(request, request.outcomeFailure(failure('cancelled', 'the caller disconnected')))
   }
 
+  /** Refuses all requests that cannot have run; the others could no longer be reported as not run, so they go on. */
   #onDrainStarted (): void {
-    this.#isDraining = true
+    this.#isShuttingDown = true
     for (const request of [...this.#requests.values()]) {
       if (request.phase === 'ended' || request.phase === 'running' || request.mayHaveRun) continue
-      this.#refuse(request, failure('shutting_down', 'this entry VM is shutting down; the request was not sent'))
+      this.#refuse(request, failure('shutting_down', 'this entry VM is shutting down; the request was not run'))
     }
   }
 
--- a/packages/routing/src/server-pool.ts
+++ b/packages/routing/src/server-pool.ts
@@ -39,7 +39,7 @@
     this.#settings = settings
     this.#incarnation = registration.record.incarnation
     this.ejection = new Ejection(settings)
-    this.concurrencyLimit = new AdaptiveConcurrencyLimit(settings, maxConcurrencyOf(registration.record))
+    this.concurrencyLimit = new AdaptiveConcurrencyLimit(settings, concurrencyCeilingOf(registration.record))
     this.peerLoad = new PeerLoad(settings)
   }
 
@@ -69,8 +69,9 @@
   }
 
   /**
-   * Whether the server has capacity for one more request. Each entry VM may always use an equal share of the limit:
-   * counts of peers are stale, and faster peers could otherwise starve this VM.
+   * Whether the server has capacity for one more request. Each entry VM may always use an equal share of the limit,
+   * rounded down: counts of peers are stale, and peers that take free slots first could otherwise starve this VM. The
+   * share is 0 if the limit is below the number of entry VMs.
    */
   hasCapacity (workClass: WorkClass, entryVmCount: number, nowMs: number): boolean {
     const limit = Math.max(1, Math.floor(
@@ -113,7 +114,7 @@
     this.#location = location
   }
 
-  /** Whether the registry changed since the tiers were built. */
+  /** Whether the registry changed since the last `refresh`. */
   get isStale (): boolean {
     return this.#membershipVersion !== this.#registry.membershipVersion
   }
@@ -127,7 +128,10 @@
     }
   }
 
-  /** Servers of a service as of the last `refresh`; empty if no registered server has announced the service. */
+  /**
+   * Servers of a service, grouped at the first use after a `refresh`; empty if no registered server has announced the
+   * service.
+   */
   tiersOf (service: string): LocalityTiers {
     const cached = this.#tiersByService.get(service)
     if (cached !== undefined) return cached
@@ -162,7 +166,7 @@
     const id = registration.record.backendServerId
     const state = this.#servers.get(id)
     if (state !== undefined && state.registration === registration && !state.isOutdated) {
-      state.concurrencyLimit.setCeiling(maxConcurrencyOf(registration.record))
+      state.concurrencyLimit.setCeiling(concurrencyCeilingOf(registration.record))
       return state
     }
     const created = new ServerState(registration, this.#registry, this.#settings, this.#location)
@@ -183,7 +187,7 @@
   }
 }
 
-function maxConcurrencyOf (record: BackendServerRecord): number {
+function concurrencyCeilingOf (record: BackendServerRecord): number {
   return Math.max(1, Math.min(record.slots, record.connections))
 }
 
--- a/packages/routing/src/service-queues.ts
+++ b/packages/routing/src/service-queues.ts
@@ -4,11 +4,11 @@
 import type { WorkClass } from './service-time-estimator.js'
 import type { RoutingSettings } from './settings.js'
 
-/** Queue of one service, with the request classes that are blocked. */
+/** Queue of one service, with the work classes that are blocked. */
 export interface ServiceQueue {
   readonly requests: RequestQueue<OpenRequest>
-  /** Classes for which no server had capacity; cleared when capacity changes. */
-  readonly blockedClasses: Set<WorkClass>
+  /** Work classes for which no server had capacity; cleared when capacity changes. */
+  readonly blockedWorkClasses: Set<WorkClass>
 }
 
 /** All queued requests of an entry VM. */
@@ -34,7 +34,7 @@
   getOrCreate (service: string): ServiceQueue {
     const existing = this.#queues.get(service)
     if (existing !== undefined) return existing
-    const queue: ServiceQueue = { requests: new RequestQueue(this.#settings), blockedClasses: new Set() }
+    const queue: ServiceQueue = { requests: new RequestQueue(this.#settings), blockedWorkClasses: new Set() }
     this.#queues.set(service, queue)
     return queue
   }
@@ -64,9 +64,9 @@
     this.getOrCreate(request.spec.service).requests.remove(request)
   }
 
-  /** Unblocks all classes after capacity changed. */
-  clearBlockedClasses (): void {
-    for (const queue of this.#queues.values()) queue.blockedClasses.clear()
+  /** Unblocks all work classes after capacity changed. */
+  unblockWorkClasses (): void {
+    for (const queue of this.#queues.values()) queue.blockedWorkClasses.clear()
   }
 
   /** Removes empty queues of services that no server announces any more. */
--- a/packages/routing/src/service-time-estimator.ts
+++ b/packages/routing/src/service-time-estimator.ts
@@ -1,10 +1,10 @@
-/** Estimates service times by request class and separates short from long classes. */
+/** Estimates service times by request class and assigns each request class to short or long work. */
 import type { RoutingSettings } from './settings.js'
 
-/** Whether the requests of a class typically take much longer than other requests. */
+/** Work class of a request class: `long` if its requests typically take much longer than other requests. */
 export type WorkClass = 'short' | 'long'
 
-interface ClassStatistics {
+interface RequestClassStatistics {
   observationCount: number
   /** Mean of the logarithm of the service time; a single outlier hardly changes it. */
   logMean: number
@@ -12,11 +12,14 @@
   workClass: WorkClass
 }
 
-/** Weight of a new observation in the averages of its class, once there are enough observations. */
-const CLASS_SMOOTHING_FACTOR = 0.05
-/** Weight of a new observation in the average of all classes, once there are enough observations. */
+/** Weight of a new observation in the averages of its request class; the n-th of the first 20 has weight 1/n. */
+const REQUEST_CLASS_SMOOTHING_FACTOR = 0.05
+/** Weight of a new observation in the average of all request classes; the n-th of the first 500 has weight 1/n. */
 const OVERALL_SMOOTHING_FACTOR = 0.002
-/** Observations of a class that are needed for an estimate. */
+/**
+ * Observations of a request class before `hasEstimate` is true and its work class may change, as fewer say nothing
+ * about the class. `typicalMs` and `meanMs` use the observations from the first one on.
+ */
 const MIN_OBSERVATIONS = 3
 
 /**
@@ -29,7 +32,7 @@
  */
 export class ServiceTimeEstimator {
   readonly #settings: RoutingSettings
-  readonly #classes = new Map<string, ClassStatistics>()
+  readonly #requestClasses = new Map<string, RequestClassStatistics>()
   #observationCount = 0
   #overallLogMean = 0
 
@@ -39,13 +42,14 @@
 
   /** Records the service time of a completed request. */
   observe (requestClass: string, durationMs: number): void {
+    // The minimum of 0.1 ms keeps the logarithm finite.
     const logDuration = Math.log(Math.max(durationMs, 0.1))
     this.#observationCount++
     this.#overallLogMean +=
       (logDuration - this.#overallLogMean) * Math.max(OVERALL_SMOOTHING_FACTOR, 1 / this.#observationCount)
-    const statistics = this.#touch(requestClass)
+    const statistics = this.#getOrCreate(requestClass)
     statistics.observationCount++
-    const smoothingFactor = Math.max(CLASS_SMOOTHING_FACTOR, 1 / statistics.observationCount)
+    const smoothingFactor = Math.max(REQUEST_CLASS_SMOOTHING_FACTOR, 1 / statistics.observationCount)
     statistics.logMean += (logDuration - statistics.logMean) * smoothingFactor
     statistics.meanMs += (durationMs - statistics.meanMs) * smoothingFactor
     statistics.workClass = this.#classify(statistics)
@@ -56,28 +60,28 @@
     if (durationMs > this.typicalMs(requestClass)) this.observe(requestClass, durationMs)
   }
 
-  /** The class of work of a request class; an unknown request class is short. */
+  /** The work class of a request class; an unknown request class is short. */
   workClass (requestClass: string): WorkClass {
-    return this.#classes.get(requestClass)?.workClass ?? 'short'
+    return this.#requestClasses.get(requestClass)?.workClass ?? 'short'
   }
 
-  /** Whether a request class has enough observations for an estimate. */
+  /** Whether a request class has enough observations to derive attempt timeouts from its service time. */
   hasEstimate (requestClass: string): boolean {
-    return (this.#classes.get(requestClass)?.observationCount ?? 0) >= MIN_OBSERVATIONS
+    return (this.#requestClasses.get(requestClass)?.observationCount ?? 0) >= MIN_OBSERVATIONS
   }
 
-  /** Geometric mean of the service times of a request class. */
+  /** Geometric mean of the service times of a request class, which a single outlier hardly changes. */
   typicalMs (requestClass: string): number {
-    const statistics = this.#classes.get(requestClass)
+    const statistics = this.#requestClasses.get(requestClass)
     return statistics === undefined ? this.#settings.unknownServiceTimeMs : Math.exp(statistics.logMean)
   }
 
   /** Arithmetic mean of the service times of a request class: the expected cost of one request. */
   meanMs (requestClass: string): number {
-    return this.#classes.get(requestClass)?.meanMs ?? this.#settings.unknownServiceTimeMs
+    return this.#requestClasses.get(requestClass)?.meanMs ?? this.#settings.unknownServiceTimeMs
   }
 
-  #classify (statistics: ClassStatistics): WorkClass {
+  #classify (statistics: RequestClassStatistics): WorkClass {
     if (statistics.observationCount < MIN_OBSERVATIONS) return statistics.workClass
     const { longClassFactor, longClassMinMs, longClassHysteresis } = this.#settings
     const thresholdMs = Math.max(longClassMinMs, Math.exp(this.#overallLogMean) * longClassFactor)
@@ -86,18 +90,21 @@
     return typicalMs < thresholdMs * longClassHysteresis ? 'short' : statistics.workClass
   }
 
-  /** Moves a class to the end of the map, which is kept in order of last use. */
-  #touch (requestClass: string): ClassStatistics {
-    const existing = this.#classes.get(requestClass)
+  /**
+   * Returns the statistics of a request class, created if needed, and moves them to the end of the map, which is kept
+   * in order of last use. If there are too many, the least recently used ones are evicted.
+   */
+  #getOrCreate (requestClass: string): RequestClassStatistics {
+    const existing = this.#requestClasses.get(requestClass)
     const statistics = existing ?? { observationCount: 0, logMean: 0, meanMs: 0, workClass: 'short' as const }
-    this.#classes.delete(requestClass)
-    this.#classes.set(requestClass, statistics)
-    if (this.#classes.size > this.#settings.maxRequestClasses) this.#evictLeastRecentlyUsed()
+    this.#requestClasses.delete(requestClass)
+    this.#requestClasses.set(requestClass, statistics)
+    if (this.#requestClasses.size > this.#settings.maxRequestClasses) this.#evictLeastRecentlyUsed()
     return statistics
   }
 
   #evictLeastRecentlyUsed (): void {
-    const [leastRecentlyUsed] = this.#classes.keys()
-    if (leastRecentlyUsed !== undefined) this.#classes.delete(leastRecentlyUsed)
+    const [leastRecentlyUsed] = this.#requestClasses.keys()
+    if (leastRecentlyUsed !== undefined) this.#requestClasses.delete(leastRecentlyUsed)
   }
 }
--- a/packages/routing/src/settings.ts
+++ b/packages/routing/src/settings.ts
@@ -1,7 +1,10 @@
 /** Settings of the request router and their defaults. */
 
 export interface RoutingSettings {
-  /** Maximum number of requests that one router holds at once; further requests are refused. */
+  /**
+   * Maximum number of requests that one router holds at once; further requests are refused. An ended request
+   * counts while an attempt or a claim decision is pending.
+   */
   readonly maxOpenRequests: number
   /** Maximum number of queued requests of all services together. */
   readonly maxQueuedRequests: number
@@ -9,16 +12,19 @@
   readonly attemptReportGraceMs: number
   /** Minimum timeout of an attempt of an idempotent request. */
   readonly attemptTimeoutMinMs: number
-  /** Timeout of the first attempt of an idempotent request as a multiple of the typical service time of its class. */
+  /**
+   * Timeout of an idempotent request's first attempt as a multiple of the typical service time of its request class.
+   */
   readonly attemptTimeoutFactor: number
   /** Upper bound of the first backoff; the bound doubles with each attempt up to `backoffMaxMs`. */
   readonly backoffBaseMs: number
+  /** Maximum of that upper bound. */
   readonly backoffMaxMs: number
   /** Retry tokens that an organisation earns with each request. */
   readonly retryBudgetPerRequest: number
   /** Maximum number of retry tokens that an organisation can accumulate. */
   readonly retryBudgetMaxTokens: number
-  /** Budget of all organisations together as a multiple of the budget of one. */
+  /** Retry budget of all organisations together as a multiple of the budget of one. */
   readonly retryBudgetTotalFactor: number
   /** Retry tokens earned per second without requests, so that an organisation with little traffic can retry too. */
   readonly retryBudgetMinPerSecond: number
@@ -34,7 +40,9 @@
   readonly limitSlowFactor: number
   /** Consecutive failures after which a server is ejected; Infinity disables ejection. */
   readonly ejectAfterFailures: number
+  /** Length of the first ejection of a server; it doubles with each recent ejection. */
   readonly ejectionBaseMs: number
+  /** Maximum length of an ejection. */
   readonly ejectionMaxMs: number
   /** Time without an ejection after which the next ejection lasts `ejectionBaseMs` again. */
   readonly ejectionMemoryMs: number
@@ -42,32 +50,37 @@
   readonly ejectionMaxShare: number
   /** Load that a failure adds to a server, in requests. */
   readonly failureLoadRequests: number
+  /** Half-life of the load that failures add. */
   readonly failureLoadHalfLifeMs: number
-  /** Slots of each server reserved for requests of short classes. */
+  /** Slots of each server that long requests may not take; at least one slot is open to them on every server. */
   readonly reservedShortSlots: number
-  /** A class is long if its typical service time exceeds this multiple of that of all requests. */
+  /** A request class is long if its typical service time exceeds this multiple of that of all requests. */
   readonly longClassFactor: number
-  /** Minimum typical service time of a long class. */
+  /** Minimum typical service time of a long request class. */
   readonly longClassMinMs: number
-  /** Share of the threshold below which a long class becomes short again; hysteresis keeps it from alternating. */
+  /** Share of the threshold below which a long request class becomes short again; hysteresis prevents alternation. */
   readonly longClassHysteresis: number
   /** Maximum number of request classes with a service time estimate; the least recently used one is evicted. */
   readonly maxRequestClasses: number
-  /** Service time assumed for a class without observations. */
+  /** Service time assumed for a request class without observations. */
   readonly unknownServiceTimeMs: number
   /** Service time credited per unit of weight in each round of deficit round robin. */
   readonly quantumMs: number
-  /** A waiting request is not sent if less than this multiple of its typical service time is left. */
+  /**
+   * A waiting request is refused if less than this multiple of its typical service time is left before its deadline.
+   */
   readonly startMarginFactor: number
-  /** Interval at which blocked queues are checked, as counts reported by peers decay without an event. */
+  /** Time after which blocked queues are checked again, as counts reported by peers decay without an event. */
   readonly queueRecheckMs: number
   /** Window over which the service rate of a non-empty queue is measured. */
   readonly rateWindowMs: number
+  /** Minimum of the retry delay that a refusal advises. */
   readonly minRetryAfterMs: number
+  /** Maximum of the retry delay that a refusal advises. */
   readonly maxRetryAfterMs: number
   /** Interval at which the front end sends a load report to its peers. */
   readonly loadShareIntervalMs: number
-  /** Target size of a load report. */
+  /** Target size of a load report, which the front end passes as `maxBytesHint`. */
   readonly loadShareMaxBytes: number
   /** Share of the limit up to which servers in other regions are used, so that they keep capacity for their region. */
   readonly crossRegionMaxLoad: number
@@ -75,7 +88,10 @@
   readonly peerLoadHalfLifeMs: number
   /** Half-life of the counts of long requests reported by peers. */
   readonly peerLongLoadHalfLifeMs: number
-  /** Time without a report after which a peer no longer counts as one that shares the servers. */
+  /**
+   * Time without a load report after which a peer no longer counts as one that shares the servers; checked when a
+   * report of any peer arrives. A peer without requests in flight need not send reports.
+   */
   readonly peerForgetAfterMs: number
   /** Maximum number of entries of a load report that are sent or applied. */
   readonly maxLoadReportEntries: number
--- a/packages/routing/src/timer-heap.ts
+++ b/packages/routing/src/timer-heap.ts
@@ -4,7 +4,7 @@
 export interface Timer {
   readonly atMs: number
   /** Whether the timer was cancelled or has fired. */
-  isCancelled: boolean
+  isDone: boolean
   readonly fire: (nowMs: number) => void
 }
 
@@ -26,7 +26,7 @@
 
   /** Sets a timer that fires at the first call of `fireDue` at or after `atMs`. */
   set (atMs: number, fire: (nowMs: number) => void): Timer {
-    const timer = { atMs, isCancelled: false, fire, order: this.#nextOrder++ }
+    const timer = { atMs, isDone: false, fire, order: this.#nextOrder++ }
     this.#heap.push(timer)
     this.#siftUp(this.#heap.length - 1)
     return timer
@@ -34,8 +34,8 @@
 
   /** Cancels a timer; no effect if it has fired. */
   cancel (timer: Timer | undefined): void {
-    if (timer === undefined || timer.isCancelled) return
-    timer.isCancelled = true
+    if (timer === undefined || timer.isDone) return
+    timer.isDone = true
     this.#cancelledCount++
     if (
       this.#cancelledCount >= COMPACTION_MIN_CANCELLED && this.#cancelledCount * 2 > this.#heap.length
@@ -52,20 +52,20 @@
   fireDue (nowMs: number): void {
     for (this.#popCancelled(); this.#heap.length > 0 && this.#heap[0]!.atMs <= nowMs; this.#popCancelled()) {
       const timer = this.#pop()
-      timer.isCancelled = true
+      timer.isDone = true
       timer.fire(nowMs)
     }
   }
 
   #popCancelled (): void {
-    while (this.#heap[0]?.isCancelled === true) {
+    while (this.#heap[0]?.isDone === true) {
       this.#pop()
       this.#cancelledCount = Math.max(0, this.#cancelledCount - 1)
     }
   }
 
   #removeCancelled (): void {
-    this.#heap = this.#heap.filter(timer => !timer.isCancelled).sort((left, right) => isBefore(left, right) ? -1 : 1)
+    this.#heap = this.#heap.filter(timer => !timer.isDone).sort((left, right) => isBefore(left, right) ? -1 : 1)
     this.#cancelledCount = 0
   }
 
--- a/packages/routing/test/components.test.ts
+++ b/packages/routing/test/components.test.ts
@@ -25,12 +25,13 @@
   }), { seed: SEED, numRuns: 200 })
 })
 
-test('deficit round robin shares service time by weight, so that a flow with expensive requests gets no larger share', t => {
+test('deficit round robin gives flows of equal weight equal service time, so that expensive requests gain no larger share', t => {
   const costs: Record<string, number> = { cheap: 10, expensive: 500 }
   const flows = new DeficitRoundRobin(20)
   flows.add('cheap', 1)
   flows.add('expensive', 1)
   const servedMs: Record<string, number> = { cheap: 0, expensive: 0 }
+  // With equal service time, 5,000 cheap and 100 expensive requests are served.
   for (let selection = 0; selection < 5_100; selection++) {
     const key = flows.select(each => costs[each])!
     flows.charge(key, costs[key]!)
--- a/packages/routing/test/router-invariants.test.ts
+++ b/packages/routing/test/router-invariants.test.ts
@@ -22,7 +22,7 @@
     repeatability: fc.constantFrom('idempotent' as const, 'non-repeatable' as const),
     hasKey: fc.boolean(),
     deadlineMs: fc.integer({ min: 1, max: 1_500 }),
-    isCallerDisconnected: fc.integer({ min: 0, max: 9 }).map(digit => digit === 0)
+    isCallerDisconnected: fc.integer({ min: 0, max: 9 }).map(draw => draw === 0)
   }), { minLength: 1, maxLength: 40 }),
   attemptBehaviours: fc.array(fc.constantFrom(...attemptBehaviours), { minLength: 1, maxLength: 30 }),
   claimBehaviours: fc.array(fc.constantFrom(...claimBehaviours), { minLength: 1, maxLength: 10 }),
@@ -33,7 +33,7 @@
   seed: fc.integer({ min: 1, max: 1_000_000 })
 })
 
-test('no outcome contradicts what the backend servers executed when messages are lost, delayed, duplicated or reordered', t => {
+test('all invariants hold when messages are lost, delayed, duplicated or reordered', t => {
   fc.assert(fc.property(scenarios, scenario => {
     const trace = new RouterSimulation(scenario).run()
     for (const [name, check] of Object.entries(invariants)) {
@@ -92,6 +92,7 @@
       invariants[name](new RouterSimulation(scenario, mutation).run()) === undefined
     ), { seed: SEED, numRuns: MUTATION_RUNS, endOnFailure: true })
     t.true(result.failed)
+    // The run has to fail because the check returned false, not because of an exception.
     t.is((result.errorInstance as Error | null)?.message, 'Property failed by returning false')
   })
 }
--- a/packages/routing/test/router-simulation.ts
+++ b/packages/routing/test/router-simulation.ts
@@ -1,4 +1,4 @@
-/** Simulation of the front end, the claims and the backend servers; it records which requests were executed. */
+/** Simulation of the front end, the control plane and the backend servers; it records which requests were executed. */
 import {
   CountingMetrics, errorTable, Random, type BackendServerRecord, type Failure, type Repeatability, type RequestSpec
 } from '@comfreygrade/core'
@@ -7,7 +7,16 @@
   type AttemptFailureReason, type RoutingEffect, type RoutingEvent, type RoutingSettings
 } from '../src/index.js'
 
-/** What the simulated backend server and connection do with one attempt. */
+/**
+ * What the simulated backend server and connection do with one attempt. Behaviours that begin with `answer` and
+ * `server_error` execute the request before they answer. Some of the others:
+ *
+ * - `answer_after_loss`: the connection is reported as lost, and the answer still arrives
+ * - `rejected_then_timeout`: a rejection and then a timeout are reported for the same attempt
+ * - `lost_before_execution`, `lost_after_execution`: the connection is lost; the request is never or has been executed
+ * - `executed_after_timeout`: the request is executed after its timeout was reported
+ * - `no_report`: the request is executed, but the router hears nothing of it
+ */
 export type AttemptBehaviour =
   | 'answer' | 'answer_twice' | 'answer_after_timeout' | 'answer_after_loss' | 'server_error'
   | 'connect_failed' | 'rejected' | 'rejected_then_timeout' | 'lost_before_execution' | 'lost_after_execution'
@@ -25,13 +34,19 @@
   readonly isCallerDisconnected: boolean
 }
 
-/** Input of a simulation run. Behaviours and delays are used in turn and repeated. */
+/**
+ * Input of a simulation run. Behaviours are used in turn and repeated. A delay is selected by the number of actions
+ * scheduled so far, so that two delays without an action between them are equal.
+ */
 export interface Scenario {
   readonly requests: readonly RequestPlan[]
   readonly attemptBehaviours: readonly AttemptBehaviour[]
   readonly claimBehaviours: readonly ClaimBehaviour[]
+  /** When server `b1` announces that it leaves. */
   readonly leaveAtMs: number
+  /** From when on server `b2` sends no heartbeats. */
   readonly silentFromMs: number
+  /** When the entry VM starts to shut down. */
   readonly drainAtMs: number
   readonly delaysMs: readonly number[]
   readonly seed: number
@@ -53,17 +68,21 @@
 /** Record of a run, on which the invariants are checked. */
 export interface RunTrace {
   readonly specs: Map<string, RequestSpec>
+  /** Number of executions by request ID. */
   readonly executions: Map<string, number>
+  /** Attempts for which an answer was sent to the router, as `requestId#attempt`. */
   readonly answered: Set<string>
   readonly outcomes: Array<{ requestId: string, attempt?: number, failure?: Failure }>
+  /** `wasServing` is the view of the simulation, which does not depend on the registry. */
   readonly dispatches: Array<{ requestId: string, wasServing: boolean, wasGranted: boolean }>
+  /** IDs of the requests whose claim was granted. */
   readonly granted: Set<string>
   readonly settled: Array<{ requestId: string, outcome: string }>
   openRequestsAtEnd: number
 }
 
 const EXPIRE_AFTER_MS = 400
-const HEARTBEAT_MS = 100
+const HEARTBEAT_INTERVAL_MS = 100
 const END_MS = 8_000
 const SERVERS = ['b1', 'b2', 'b3']
 
@@ -72,6 +91,7 @@
   ...defaultRoutingSettings, maxQueuedRequests: 6, retryBudgetMaxTokens: 8, attemptTimeoutMinMs: 60
 }
 
+/** Each server is in an availability zone of its own, which has the ID of the server as its name. */
 function serverRecord (id: string, sequence: number, state: BackendServerRecord['state']): BackendServerRecord {
   return {
     backendServerId: id,
@@ -140,7 +160,7 @@
 
   #scheduleScenario (): void {
     const { requests, leaveAtMs, drainAtMs, silentFromMs } = this.#scenario
-    for (let atMs = 0, sequence = 1; atMs <= END_MS; atMs += HEARTBEAT_MS, sequence++) {
+    for (let atMs = 0, sequence = 1; atMs <= END_MS; atMs += HEARTBEAT_INTERVAL_MS, sequence++) {
       for (const id of SERVERS) this.#schedule(atMs, () => this.#heartbeat(id, sequence, silentFromMs))
     }
     this.#schedule(leaveAtMs, () => this.#leave('b1'))
@@ -154,6 +174,10 @@
     this.#registry.announce(serverRecord(id, sequence, 'active'), this.#nowMs)
   }
 
+  /**
+   * Announces `leaving` with a sequence older than all heartbeats, as if the record were late. It must still apply, and
+   * the later heartbeats with state `active` must not undo it.
+   */
   #leave (id: string): void {
     this.#leavingServers.add(id)
     this.#registry.announce(serverRecord(id, 0, 'leaving'), this.#nowMs)
@@ -285,7 +309,9 @@
   }
 }
 
-/** Checks a property of a run; returns the ID of a request that violates it. */
+/**
+ * Checks a property of a run; returns the ID of a request that violates it, or another description of the violation.
+ */
 export type Invariant = (trace: RunTrace) => string | undefined
 
 /** All invariants by name. */
--- a/packages/routing/test/router.test.ts
+++ b/packages/routing/test/router.test.ts
@@ -101,7 +101,7 @@
   return nowMs
 }
 
-test('requests with an unknown organisation, an unknown service or a passed deadline are refused without being sent', t => {
+test('requests with an unknown organisation, an unknown service or a passed deadline are refused on arrival', t => {
   const { router, metrics } = setUp()
   t.deepEqual(refusalKinds(arrive(router, request('r1', { organisationId: 'nobody' }))), ['unknown_organisation'])
   t.deepEqual(refusalKinds(arrive(router, request('r2', { service: 'plots' }))), ['no_backend_server'])
@@ -121,7 +121,7 @@
   t.deepEqual(chosen, [['r1', 'b2'], ['r2', 'b1'], ['r3', 'b0']])
 })
 
-test('a request is queued instead of refused while all slots are in use, and no slot is used twice', t => {
+test('a request is queued instead of refused while the lower of slots and connections is in use', t => {
   const { router } = setUp({ servers: [{ slots: 8, connections: 2 }] })
   const first = ['r1', 'r2', 'r3'].flatMap(id => arrive(router, request(id)))
   t.is(dispatched(first).length, 2)
@@ -133,6 +133,7 @@
   const { router, registry } = setUp({ servers: [{ state: 'leaving' }] })
   t.deepEqual(arrive(router, request('r1')), [])
   registry.announce(serverRecord({ backendServerId: 'b9' }), 10)
+  // A time that is not in the future: the tick is due at once.
   t.is(router.nextWakeAtMs(), 0)
   t.deepEqual(dispatched(router.handle({ kind: 'tick' }, 10)), [['r1', 'b9']])
 })
@@ -178,7 +179,7 @@
   t.is(metrics.snapshot()['retry{reason=connect_failed}'], 3)
 })
 
-test('a server that fails fast is ejected for increasing periods and probed with one request at a time', t => {
+test('a server that fails fast is ejected, so that its short response times attract only a few requests', t => {
   const { router } = setUp({ servers: [{ slots: 4 }, { slots: 4 }] })
   const errors: number[] = []
   for (let nowMs = 0; nowMs < 10_000; nowMs += 10) {
@@ -194,8 +195,8 @@
 
 test('long requests leave reserved slots free, so that short requests do not wait behind them', t => {
   const { router } = setUp({ servers: [{ slots: 4 }], settings: { reservedShortSlots: 1 } })
-  const taughtMs = observeServiceTimes(router, 'charge', 10, 100)
-  const startMs = observeServiceTimes(router, 'reconcile', 2_000, 5, taughtMs)
+  const observedUntilMs = observeServiceTimes(router, 'charge', 10, 100)
+  const startMs = observeServiceTimes(router, 'reconcile', 2_000, 5, observedUntilMs)
   const long = ['l1', 'l2', 'l3', 'l4'].flatMap(id =>
     arrive(router, request(id, { requestClass: 'reconcile', deadlineAtMs: startMs + 60_000 }), startMs))
   t.is(dispatched(long).length, 3)
