--- a/packages/placement/src/cells.ts
+++ b/packages/placement/src/cells.ts
@@ -2,13 +2,14 @@
  * Buddy cells over the accelerators of workers and racks.
  *
  * A cell of level L is 2^L adjacent accelerators. Workers of one type (model, accelerators, cores, memory) at
- * consecutive positions of a rack form larger cells. The tree depends on the inventory only; occupancy is tracked in
+ * consecutive positions of a rack form larger cells, provided that their number of accelerators is a power of two: only
+ * then does a single cell cover a whole worker. The tree depends on the inventory only; occupancy is tracked in
  * `occupancy.ts`. The design follows the multi-level cells with buddy allocation of HiveD (OSDI 2020).
  */
 import type { Configuration, Worker } from '@comfreygrade/core'
 
-/** Sentinel index: the parent of a root cell, or the child of a single-accelerator cell. */
-export const NO_CELL = -1
+/** Stands for a missing index, such as the parent of a root cell or the child of a single-accelerator cell. */
+export const NO_INDEX = -1
 
 /** All workers of one type. A cell never spans pools. */
 export interface CellPool {
@@ -21,8 +22,8 @@
   readonly rackIndexes: number[]
 }
 
-/** The workers of a rack that belong to one pool. */
-export interface CellRack {
+/** The workers of a rack that belong to one pool. A rack with workers of several types has one for each type. */
+export interface PoolRack {
   readonly index: number
   readonly rackId: string
   readonly poolIndex: number
@@ -52,7 +53,8 @@
 
 /**
  * Splits consecutive positions into power-of-two blocks, as large as possible. A block starts at a multiple of its size
- * where possible, so that adding a worker at either end moves no other block.
+ * if one of that size fits there, which keeps many blocks in place when a worker is added at either end. Other blocks
+ * may move or merge into larger ones.
  *
  * @example
  * splitIntoBlocks(0, 7) // [{ start: 0, length: 4 }, { start: 4, length: 2 }, { start: 6, length: 1 }]
@@ -70,18 +72,22 @@
 /** Immutable tree of all cells of an inventory. A cell is an index into the typed arrays that hold its properties. */
 export class CellTree {
   readonly pools: CellPool[] = []
-  readonly racks: CellRack[] = []
+  readonly racks: PoolRack[] = []
   readonly workers: CellWorker[] = []
   readonly acceleratorModels: string[] = []
   /** Number of levels: the highest level plus one. */
   readonly levels: number
+  /** Parent of a cell; `NO_INDEX` for a root. */
   readonly parent: Int32Array
   /** First of the two children of a cell; the second has the next index. */
   readonly firstChild: Int32Array
+  /** Level of a cell: the binary logarithm of its number of accelerators. */
   readonly level: Uint8Array
+  /** Index of the cell's rack in `racks`. */
   readonly rack: Int32Array
-  /** Worker index of a cell; `NO_CELL` for a cell that spans several workers. */
+  /** Worker index of a cell; `NO_INDEX` for a cell that spans several workers. */
   readonly worker: Int32Array
+  /** First accelerator of a cell on its worker, below 64 by the limits of the configuration; 0 if it spans several. */
   readonly firstAccelerator: Uint8Array
   readonly #workerIndexes = new Map<string, number>()
   readonly #poolIndexes = new Map<string, number>()
@@ -120,9 +126,12 @@
     return this.pools[this.racks[this.rack[cell]!]!.poolIndex]!
   }
 
-  /** The cell of `count` accelerators that starts at `first` on a worker; undefined if the tree has no such cell. */
+  /**
+   * The cell of `count` accelerators, rounded up to a power of two, that starts at `first` on a worker; undefined if
+   * the tree has no such cell.
+   */
   cellAt (workerId: string, first: number, count: number): number | undefined {
-    const worker = this.workers[this.#workerIndexes.get(workerId) ?? NO_CELL]
+    const worker = this.workers[this.#workerIndexes.get(workerId) ?? NO_INDEX]
     if (worker === undefined) return undefined
     const level = smallestLevelHolding(count)
     for (const top of worker.topCells) {
@@ -132,11 +141,14 @@
     return undefined
   }
 
-  /** The cell of the given level that contains `cell`; undefined if its root is below that level. */
+  /**
+   * The cell of the given level that contains `cell`; undefined if its root is below that level, or if `cell` itself is
+   * above it.
+   */
   ancestor (cell: number, level: number): number | undefined {
     let current = cell
-    while (current !== NO_CELL && this.level[current]! < level) current = this.parent[current]!
-    return current === NO_CELL || this.level[current] !== level ? undefined : current
+    while (current !== NO_INDEX && this.level[current]! < level) current = this.parent[current]!
+    return current === NO_INDEX || this.level[current] !== level ? undefined : current
   }
 
   #descend (top: number, level: number, first: number): number | undefined {
@@ -151,40 +163,40 @@
   #addRack (workers: Worker[]): void {
     const pool = this.#findOrAddPool(workers[0]!)
     const index = this.racks.length
-    const rack: CellRack = {
+    const rack: PoolRack = {
       index, rackId: workers[0]!.rackId, poolIndex: pool.index, rootCells: [], workerIndexes: [], accelerators: 0
     }
     this.racks.push(rack)
     pool.rackIndexes.push(index)
-    for (const run of consecutiveRuns(workers)) this.#addRun(rack, run)
+    for (const segment of consecutiveSegments(workers)) this.#addSegment(rack, segment)
   }
 
-  #addRun (rack: CellRack, run: Worker[]): void {
-    const accelerators = run[0]!.accelerators
+  #addSegment (rack: PoolRack, segment: Worker[]): void {
+    const accelerators = segment[0]!.accelerators
     const workerLevel = largestLevelWithin(accelerators)
-    const indexes = run.map(worker => this.#addWorker(rack, worker))
+    const indexes = segment.map(worker => this.#addWorker(rack, worker))
     if (2 ** workerLevel !== accelerators) {
       for (const index of indexes) this.#addNonPowerOfTwoWorker(rack, index, accelerators)
       return
     }
-    const start = run[0]!.rackPosition
-    for (const block of splitIntoBlocks(start, run.length)) {
+    const start = segment[0]!.rackPosition
+    for (const block of splitIntoBlocks(start, segment.length)) {
       const members = indexes.slice(block.start - start, block.start - start + block.length)
-      const root = this.#addCell(NO_CELL, workerLevel + largestLevelWithin(block.length), rack.index)
+      const root = this.#addCell(NO_INDEX, workerLevel + largestLevelWithin(block.length), rack.index)
       rack.rootCells.push(root)
       this.#buildRackCells(root, members, workerLevel)
     }
   }
 
-  #addNonPowerOfTwoWorker (rack: CellRack, workerIndex: number, accelerators: number): void {
+  #addNonPowerOfTwoWorker (rack: PoolRack, workerIndex: number, accelerators: number): void {
     for (const block of splitIntoBlocks(0, accelerators)) {
-      const root = this.#addCell(NO_CELL, largestLevelWithin(block.length), rack.index)
+      const root = this.#addCell(NO_INDEX, largestLevelWithin(block.length), rack.index)
       rack.rootCells.push(root)
       this.#buildWorkerCells(root, workerIndex, block.start, true)
     }
   }
 
-  #addWorker (rack: CellRack, worker: Worker): number {
+  #addWorker (rack: PoolRack, worker: Worker): number {
     const index = this.workers.length
     this.workers.push({
       index, workerId: worker.workerId, rackIndex: rack.index, accelerators: worker.accelerators, topCells: []
@@ -227,10 +239,10 @@
   #addCell (parent: number, level: number, rack: number): number {
     const columns = this.#columns
     columns.parent.push(parent)
-    columns.firstChild.push(NO_CELL)
+    columns.firstChild.push(NO_INDEX)
     columns.level.push(level)
     columns.rack.push(rack)
-    columns.worker.push(NO_CELL)
+    columns.worker.push(NO_INDEX)
     columns.firstAccelerator.push(0)
     return columns.parent.length - 1
   }
@@ -285,14 +297,14 @@
   return [...groups.values()]
 }
 
-function consecutiveRuns (workers: Worker[]): Worker[][] {
-  const runs: Worker[][] = []
+function consecutiveSegments (workers: Worker[]): Worker[][] {
+  const segments: Worker[][] = []
   for (const worker of workers) {
-    const run = runs.at(-1)
-    if (run !== undefined && run.at(-1)!.rackPosition + 1 === worker.rackPosition) run.push(worker)
-    else runs.push([worker])
+    const segment = segments.at(-1)
+    if (segment !== undefined && segment.at(-1)!.rackPosition + 1 === worker.rackPosition) segment.push(worker)
+    else segments.push([worker])
   }
-  return runs
+  return segments
 }
 
 /**
--- a/packages/placement/src/fleet-report.ts
+++ b/packages/placement/src/fleet-report.ts
@@ -9,21 +9,23 @@
 export interface FleetReportInput {
   readonly fleet: Fleet
   readonly jobs: readonly JobRecord[]
+  /** Number of jobs in state `waiting`. The report has its own count, which includes jobs in state `claiming`. */
   readonly waitingJobs: number
   readonly quarantinedWorkerIds: readonly string[]
   readonly drainingWorkerIds: readonly string[]
-  readonly lostWorkerIds: readonly string[]
+  /** Workers that have not joined, were lost or are quarantined. */
+  readonly missingOrQuarantinedWorkerIds: readonly string[]
 }
 
-/** Builds the report in time linear in the number of jobs and workers. */
+/** Builds the report. Takes time linear in the number of workers and of jobs, for each accelerator model. */
 export function buildFleetReport (input: FleetReportInput): FleetReport {
   const placed = input.jobs.filter(job => job.state === 'placed')
-  const lostWorkerIds = new Set(input.lostWorkerIds)
-  const lostWorkers = input.fleet.tree.workers.filter(worker => lostWorkerIds.has(worker.workerId))
+  const workerIds = new Set(input.missingOrQuarantinedWorkerIds)
+  const missingOrQuarantined = input.fleet.tree.workers.filter(worker => workerIds.has(worker.workerId))
   return {
     accelerators: input.fleet.accelerators,
     acceleratorsInUse: sum(placed.map(job => job.heldAccelerators)),
-    acceleratorsLost: sum(lostWorkers.map(worker => worker.accelerators)),
+    acceleratorsLost: sum(missingOrQuarantined.map(worker => worker.accelerators)),
     fragmentation: measureFragmentation(input),
     waitingJobs: input.jobs.length - placed.length,
     runningJobs: placed.length,
@@ -42,7 +44,7 @@
   let free = 0
   let usable = 0
   for (const shape of largestWaitingShapes(jobs)) {
-    const pools = new Set(fleet.tree.pools.filter(pool => pool.modelIndex === shape.options[0]!.pool.modelIndex))
+    const pools = new Set(fleet.tree.pools.filter(pool => pool.modelIndex === shape.poolLevels[0]!.pool.modelIndex))
     free += sum([...pools].map(pool => fleet.used.freeInPool(pool.index)))
     usable += usableAccelerators(fleet, shape)
   }
@@ -52,20 +54,21 @@
 function largestWaitingShapes (jobs: readonly JobRecord[]): GangShape[] {
   const largest = new Map<string, GangShape>()
   for (const { state, spec, shape } of jobs) {
-    if (state === 'placed' || shape.options.length === 0) continue
-    const previous = largest.get(spec.acceleratorModel)
-    if (previous === undefined || shape.accelerators > previous.accelerators) largest.set(spec.acceleratorModel, shape)
+    if (state === 'placed' || shape.poolLevels.length === 0) continue
+    const other = largest.get(spec.acceleratorModel)
+    if (other === undefined || shape.minAccelerators > other.minAccelerators) largest.set(spec.acceleratorModel, shape)
   }
   return [...largest.values()]
 }
 
 function usableAccelerators (fleet: Fleet, shape: GangShape): number {
   let total = 0
-  for (const { pool, level } of shape.options) {
+  for (const { pool, level } of shape.poolLevels) {
     const cells = sum(pool.rackIndexes.map(rackIndex => usableCells(fleet, shape, rackIndex, level)))
     total += cells * 2 ** level
   }
-  return shape.adjacency === 'none' && total < shape.accelerators ? 0 : total
+  // A gang without adjacency can use all free cells of its pools, or none if these are too few.
+  return shape.adjacency === 'none' && total < shape.minAccelerators ? 0 : total
 }
 
 function usableCells (fleet: Fleet, shape: GangShape, rackIndex: number, level: number): number {
@@ -82,8 +85,8 @@
 }
 
 function buildGuaranteeReports (fleet: Fleet, placed: readonly JobRecord[]): GuaranteeReport[] {
-  const missing = new Map(fleet.guarantees.check().missingCells.map(entry => [entry.guaranteeId, entry.cells]))
-  const lentByModel = lentFromUnboundByModel(fleet, placed)
+  const missing = new Map(fleet.guarantees.checkReclaimable().missingCells.map(item => [item.guaranteeId, item.cells]))
+  const lentByModel = lentOfUnboundByModel(fleet, placed)
   return fleet.guarantees.states.map(state => {
     const { guarantee, boundCells } = state
     const lentForUnbound = attributeLent(lentByModel, state)
@@ -100,20 +103,24 @@
   })
 }
 
-/** Accelerators of unbound guaranteed cells that are occupied by jobs on lent capacity, by model index. */
-function lentFromUnboundByModel (fleet: Fleet, placed: readonly JobRecord[]): Map<number, number> {
-  const demand = new Map<number, number>()
+/**
+ * Accelerators of unbound guaranteed cells that are occupied by jobs on lent capacity, by model index. An unbound cell
+ * has no place yet: what the free uncommitted accelerators cannot cover must be occupied by lent jobs.
+ */
+function lentOfUnboundByModel (fleet: Fleet, placed: readonly JobRecord[]): Map<number, number> {
+  // First all accelerators of unbound guaranteed cells, then replaced by those that are lent.
+  const byModel = new Map<number, number>()
   for (const state of fleet.guarantees.states) {
     const unbound = (state.guarantee.cells - state.boundCells.size) * 2 ** state.level
-    demand.set(state.modelIndex, (demand.get(state.modelIndex) ?? 0) + unbound)
+    byModel.set(state.modelIndex, (byModel.get(state.modelIndex) ?? 0) + unbound)
   }
-  for (const modelIndex of demand.keys()) {
+  for (const modelIndex of byModel.keys()) {
     const uncommitted = sum(fleet.committed.maximalCellsByLevel(modelIndex).map((cells, level) => cells * 2 ** level))
     const lent = sum(placed.map(job => lentOutsideBindings(fleet, job, modelIndex)))
-    const required = demand.get(modelIndex)!
-    demand.set(modelIndex, Math.min(lent, Math.max(0, required - (uncommitted - lent))))
+    const required = byModel.get(modelIndex)!
+    byModel.set(modelIndex, Math.min(lent, Math.max(0, required - (uncommitted - lent))))
   }
-  return demand
+  return byModel
 }
 
 function lentOutsideBindings (fleet: Fleet, job: JobRecord, modelIndex: number): number {
@@ -122,6 +129,7 @@
   return sum(modelCells.filter(cell => fleet.committed.isFree(cell)).map(cell => 2 ** fleet.tree.level[cell]!))
 }
 
+/** Takes the share of a guarantee out of `lentByModel`; guarantees are served in the order of the configuration. */
 function attributeLent (lentByModel: Map<number, number>, state: GuaranteeState): number {
   const remaining = lentByModel.get(state.modelIndex) ?? 0
   const unbound = (state.guarantee.cells - state.boundCells.size) * 2 ** state.level
@@ -132,7 +140,7 @@
 
 function lentWithin (fleet: Fleet, boundCell: number): number {
   let total = 0
-  for (const job of fleet.jobsIn(boundCell)) {
+  for (const job of fleet.jobsOverlapping(boundCell)) {
     if (job.plan!.capacityClass !== 'lent') continue
     for (const cell of job.plan!.cells) total += overlappingAccelerators(fleet, boundCell, cell)
   }
--- a/packages/placement/src/fleet.ts
+++ b/packages/placement/src/fleet.ts
@@ -1,11 +1,11 @@
 /** Occupancy of the cells by jobs, claims, reservations and unavailable workers. */
 import type { Configuration } from '@comfreygrade/core'
-import { type CellTree, NO_CELL, buildCellTree } from './cells.js'
+import { type CellTree, NO_INDEX, buildCellTree } from './cells.js'
 import { type Binding, GuaranteeAllocator } from './guarantees.js'
 import { type GangPlan, type JobRecord, isPreemptible } from './job-record.js'
 import { CellMarks, FreeCellIndex } from './occupancy.js'
 
-/** A cell that could be allocated, with the jobs to preempt for it and the total cost of preempting them. */
+/** A cell that could be allocated, with the jobs to preempt for it and the total cost of preempting them (no unit). */
 export interface CandidateCell {
   readonly cell: number
   readonly cost: number
@@ -25,9 +25,9 @@
   readonly tree: CellTree
   /** Cells with jobs, claims or start-time reservations, and cells of unavailable workers. */
   readonly used: FreeCellIndex
-  /** Cells that cannot be bound to a guarantee: bound already, unavailable, or lent to a non-preemptible job. */
+  /** Cells that no further guarantee can be bound to: bound, unavailable, or used by a non-preemptible lent job. */
   readonly committed: FreeCellIndex
-  /** Cells that cannot be preempted: claimed, unavailable, or occupied by a guaranteed or non-preemptible job. */
+  /** Cells that no preemption can free: claimed, unavailable, or occupied by a guaranteed or non-preemptible job. */
   readonly nonPreemptible: CellMarks
   readonly unavailable: CellMarks
   readonly guarantees: GuaranteeAllocator
@@ -82,7 +82,7 @@
   occupy (job: JobRecord, plan: GangPlan): void {
     for (const cell of plan.cells) {
       this.#jobByCell.set(cell, job)
-      this.#markPlan(cell, job, plan)
+      this.#markCell(cell, job, plan)
     }
     for (const binding of plan.bindings) binding.users += 1
   }
@@ -91,7 +91,7 @@
   vacate (job: JobRecord, plan: GangPlan): void {
     for (const cell of plan.cells) {
       this.#jobByCell.delete(cell)
-      this.#unmarkPlan(cell, job, plan)
+      this.#unmarkCell(cell, job, plan)
     }
     this.#releaseBindings(plan)
   }
@@ -116,12 +116,12 @@
   }
 
   /** Jobs that occupy a cell, one of its ancestors or one of its descendants. */
-  jobsIn (cell: number): ReadonlySet<JobRecord> {
+  jobsOverlapping (cell: number): ReadonlySet<JobRecord> {
     return this.#collectJobs(cell, this.#jobByCell)
   }
 
   /** Jobs with a claim on a cell, one of its ancestors or one of its descendants. */
-  claimantsIn (cell: number): ReadonlySet<JobRecord> {
+  claimantsOverlapping (cell: number): ReadonlySet<JobRecord> {
     return this.#claimantByCell.size === 0 ? NO_VICTIMS : this.#collectJobs(cell, this.#claimantByCell)
   }
 
@@ -168,7 +168,7 @@
       return
     }
     if (this.nonPreemptible.marksBelow(cell) > 0) return
-    const victims = this.used.isFree(cell) ? NO_VICTIMS : this.jobsIn(cell)
+    const victims = this.used.isFree(cell) ? NO_VICTIMS : this.jobsOverlapping(cell)
     let cost = 0
     for (const victim of victims) {
       if (!isPreemptible(victim.spec) || !isVictim(victim)) return
@@ -179,7 +179,7 @@
 
   #collectJobs (cell: number, jobByCell: ReadonlyMap<number, JobRecord>): ReadonlySet<JobRecord> {
     const found = new Set<JobRecord>()
-    for (let ancestor = this.tree.parent[cell]!; ancestor !== NO_CELL; ancestor = this.tree.parent[ancestor]!) {
+    for (let ancestor = this.tree.parent[cell]!; ancestor !== NO_INDEX; ancestor = this.tree.parent[ancestor]!) {
       const job = jobByCell.get(ancestor)
       if (job !== undefined) found.add(job)
     }
@@ -203,13 +203,13 @@
     }
   }
 
-  #markPlan (cell: number, job: JobRecord, plan: GangPlan): void {
+  #markCell (cell: number, job: JobRecord, plan: GangPlan): void {
     this.used.mark(cell)
     if (plan.capacityClass === 'guaranteed' || !isPreemptible(job.spec)) this.nonPreemptible.mark(cell)
     if (plan.capacityClass === 'lent' && !isPreemptible(job.spec)) this.committed.mark(cell)
   }
 
-  #unmarkPlan (cell: number, job: JobRecord, plan: GangPlan): void {
+  #unmarkCell (cell: number, job: JobRecord, plan: GangPlan): void {
     this.used.unmark(cell)
     if (plan.capacityClass === 'guaranteed' || !isPreemptible(job.spec)) this.nonPreemptible.unmark(cell)
     if (plan.capacityClass === 'lent' && !isPreemptible(job.spec)) this.committed.unmark(cell)
--- a/packages/placement/src/free-cell-search.ts
+++ b/packages/placement/src/free-cell-search.ts
@@ -7,7 +7,7 @@
 /** Whether a free cell may be used; non-preemptible jobs, for example, may not use cells that a guarantee needs. */
 export type CellFilter = (cell: number) => boolean
 
-/** Finds free cells in the order of the policy; read-only. */
+/** Finds free cells in the order of the policy; pools are searched in the order of the inventory. Read-only. */
 export class FreeCellSearch {
   readonly #fleet: Fleet
   readonly #policy: PlacementPolicy
@@ -20,7 +20,7 @@
   /** One free cell for each task; undefined if the whole gang does not fit. */
   find (shape: GangShape, isUsable?: CellFilter): number[] | undefined {
     if (shape.adjacency === 'none' || shape.tasks === 1) return this.#findAnywhere(shape, isUsable)
-    for (const { pool, level } of shape.options) {
+    for (const { pool, level } of shape.poolLevels) {
       const cells = this.#findAdjacent(shape, pool, level, isUsable)
       if (cells !== undefined) return cells
     }
@@ -42,7 +42,7 @@
 
   #findAnywhere (shape: GangShape, isUsable?: CellFilter): number[] | undefined {
     const cells: number[] = []
-    for (const { pool, level } of shape.options) {
+    for (const { pool, level } of shape.poolLevels) {
       const remaining = shape.tasks - cells.length
       if (this.#policy.takesSmallestCell()) cells.push(...this.#findBestFit(pool, level, remaining, isUsable))
       else cells.push(...this.#findFirstFit(pool, level, remaining, isUsable))
--- a/packages/placement/src/guarantees.ts
+++ b/packages/placement/src/guarantees.ts
@@ -13,8 +13,11 @@
 /** A guarantee and the physical cells that it is bound to. */
 export interface GuaranteeState {
   readonly guarantee: Guarantee
+  /** Level of its cells. */
   readonly level: number
+  /** Index of its accelerator model in the cell tree. */
   readonly modelIndex: number
+  /** Indexes of the physical cells that are bound. */
   readonly boundCells: Set<number>
 }
 
@@ -36,11 +39,12 @@
   readonly #states: GuaranteeState[] = []
   readonly #byOrganisationAndModel = new Map<string, GuaranteeState[]>()
   readonly #bindings = new Map<number, Binding>()
-  readonly #demandByModel = new Map<number, number[]>()
+  /** Number of unbound guaranteed cells by level, by model index. */
+  readonly #unboundByModel = new Map<number, number[]>()
 
   /**
    * @param committed marks of cells that are bound, unavailable or used by non-preemptible jobs
-   * @param unavailable marks of cells on lost, draining or quarantined workers
+   * @param unavailable marks of cells on workers that have not joined, were lost, or are draining or quarantined
    */
   constructor (tree: CellTree, committed: FreeCellIndex, unavailable: CellMarks, configuration: Configuration) {
     this.#tree = tree
@@ -80,7 +84,12 @@
     return undefined
   }
 
-  /** Binds the cell of a recorded placement without the reclaim check, as the job already runs there. */
+  /**
+   * Binds the cell of a recorded placement without the reclaim check, as the job already runs there. The cell may be
+   * marked in `committed`, for example while its worker is unavailable, but must not overlap another binding.
+   *
+   * @returns undefined if the guarantee has no unbound cell, or the cell overlaps a bound one
+   */
   restoreBinding (state: GuaranteeState, cell: number): Binding | undefined {
     if (state.boundCells.size >= state.guarantee.cells || this.#overlapsBinding(cell)) return undefined
     return this.#addBinding(state, cell)
@@ -91,7 +100,7 @@
     this.#bindings.delete(binding.cell)
     binding.state.boundCells.delete(binding.cell)
     this.#committed.unmark(binding.cell)
-    this.#demandOf(binding.state.modelIndex)[binding.state.level]! += 1
+    this.#unboundByLevel(binding.state.modelIndex)[binding.state.level]! += 1
   }
 
   /** Whether a non-preemptible job can use the cells without increasing the number of missing guaranteed cells. */
@@ -106,10 +115,10 @@
   }
 
   /** Counts the missing cells of each guarantee: unbound cells that do not fit, and unavailable bound cells. */
-  check (): ReclaimCheck {
+  checkReclaimable (): ReclaimCheck {
     const missingCells: Array<{ guaranteeId: string, cells: number }> = []
     const missing = new Map<number, number[]>()
-    for (const modelIndex of this.#demandByModel.keys()) missing.set(modelIndex, this.#missingCells(modelIndex))
+    for (const modelIndex of this.#unboundByModel.keys()) missing.set(modelIndex, this.#missingCells(modelIndex))
     for (const state of this.#states) {
       const remaining = missing.get(state.modelIndex)!
       const unbound = state.guarantee.cells - state.boundCells.size
@@ -131,15 +140,15 @@
     this.#states.push(state)
     const key = `${guarantee.organisationId}/${guarantee.acceleratorModel}`
     this.#byOrganisationAndModel.set(key, [...this.#byOrganisationAndModel.get(key) ?? [], state])
-    const demand = this.#demandOf(state.modelIndex)
-    while (demand.length <= state.level) demand.push(0)
-    demand[state.level]! += guarantee.cells
+    const unbound = this.#unboundByLevel(state.modelIndex)
+    while (unbound.length <= state.level) unbound.push(0)
+    unbound[state.level]! += guarantee.cells
   }
 
   #addBinding (state: GuaranteeState, cell: number): Binding {
     const binding: Binding = { state, cell, users: 0 }
     this.#committed.mark(cell)
-    this.#demandOf(state.modelIndex)[state.level]! -= 1
+    this.#unboundByLevel(state.modelIndex)[state.level]! -= 1
     state.boundCells.add(cell)
     this.#bindings.set(cell, binding)
     return binding
@@ -162,16 +171,16 @@
     return count
   }
 
-  #demandOf (modelIndex: number): number[] {
-    const existing = this.#demandByModel.get(modelIndex)
+  #unboundByLevel (modelIndex: number): number[] {
+    const existing = this.#unboundByModel.get(modelIndex)
     if (existing !== undefined) return existing
     const created: number[] = []
-    this.#demandByModel.set(modelIndex, created)
+    this.#unboundByModel.set(modelIndex, created)
     return created
   }
 
   #missingCells (modelIndex: number): number[] {
-    return missingByLevel(this.#committed.maximalCellsByLevel(modelIndex), this.#demandOf(modelIndex))
+    return missingByLevel(this.#committed.maximalCellsByLevel(modelIndex), this.#unboundByLevel(modelIndex))
   }
 
   #missingAccelerators (modelIndex: number): number {
--- a/packages/placement/src/job-explainer.ts
+++ b/packages/placement/src/job-explainer.ts
@@ -10,6 +10,7 @@
 /** State that explanations are derived from. */
 export interface ExplainerInput {
   readonly jobs: ReadonlyMap<string, JobRecord>
+  /** Failures of refused and of stopped jobs, by job ID; both are explained as `refused`. */
   readonly refusals: ReadonlyMap<string, Failure>
   readonly usage: OrganisationUsage
   readonly reservationsByModel: ReadonlyMap<string, Reservation>
@@ -45,7 +46,7 @@
     }
     const quota = this.#input.usage.quota(organisationId)
     const inUse = this.#input.usage.inUse(organisationId)
-    if (inUse + job.shape.accelerators > quota) return this.#explainQuota(job, quota, inUse, nowMs)
+    if (inUse + job.shape.minAccelerators > quota) return this.#explainQuota(job, quota, inUse, nowMs)
     if (!job.shape.isPossible) return explainWait(jobId, 'the current inventory cannot hold a gang of this shape', [])
     return this.#explainCapacity(job, nowMs)
   }
@@ -55,7 +56,7 @@
     const own = [...this.#input.jobs.values()].filter(other =>
       other.heldAccelerators > 0 && other.spec.organisationId === organisationId)
     own.sort((left, right) => this.#input.estimatedEndMs(left) - this.#input.estimatedEndMs(right))
-    let missing = inUse + job.shape.accelerators - quota
+    let missing = inUse + job.shape.minAccelerators - quota
     const blockers: JobRecord[] = []
     for (const other of own) {
       if (missing <= 0) break
@@ -65,7 +66,7 @@
     const last = blockers.at(-1)
     const startInMs = last === undefined || missing > 0 ? undefined : this.#input.estimatedEndMs(last) - nowMs
     const reason = `organisation ${organisationId} uses ${inUse} of its quota of ${quota} accelerators, ` +
-      `the job needs ${job.shape.accelerators}`
+      `the job needs ${job.shape.minAccelerators}`
     return explainWait(jobId, reason, blockers, startInMs)
   }
 
--- a/packages/placement/src/occupancy.ts
+++ b/packages/placement/src/occupancy.ts
@@ -1,7 +1,10 @@
 /** Occupancy of the cells of a tree: nested marks, and an index of the free cells by level and rack. */
-import { type CellTree, NO_CELL } from './cells.js'
+import { type CellTree, NO_INDEX } from './cells.js'
 
-/** Racks of a pool are bucketed by their fraction of free accelerators, so that finding one does not scan workers. */
+/**
+ * Number of buckets for the racks of a pool by their fraction of free accelerators, besides the one for full racks, so
+ * that racks are found in order of fullness without sorting them or scanning their workers.
+ */
 const RACK_BUCKETS = 64
 
 /** Counts marks on cells. Marks may be nested: a worker can fail within a bound rack cell. */
@@ -19,13 +22,13 @@
 
   mark (cell: number): void {
     this.#marks[cell]! += 1
-    for (let up = this.tree.parent[cell]!; up !== NO_CELL; up = this.tree.parent[up]!) this.#marksBelow[up]! += 1
+    for (let up = this.tree.parent[cell]!; up !== NO_INDEX; up = this.tree.parent[up]!) this.#marksBelow[up]! += 1
   }
 
   unmark (cell: number): void {
     if (this.#marks[cell] === 0) throw new RangeError(`cannot unmark cell ${cell}: it has no mark`)
     this.#marks[cell]! -= 1
-    for (let up = this.tree.parent[cell]!; up !== NO_CELL; up = this.tree.parent[up]!) this.#marksBelow[up]! -= 1
+    for (let up = this.tree.parent[cell]!; up !== NO_INDEX; up = this.tree.parent[up]!) this.#marksBelow[up]! -= 1
   }
 
   /** Number of marks on the cell itself. */
@@ -45,7 +48,7 @@
 
   /** Whether an ancestor of the cell has a mark. */
   hasMarkAbove (cell: number): boolean {
-    for (let up = this.tree.parent[cell]!; up !== NO_CELL; up = this.tree.parent[up]!) {
+    for (let up = this.tree.parent[cell]!; up !== NO_INDEX; up = this.tree.parent[up]!) {
       if (this.#marks[up]! > 0) return true
     }
     return false
@@ -54,11 +57,15 @@
 
 /**
  * Marks with an index of the maximal free cells: free cells whose parent is not free, as in the free lists of a buddy
- * allocator. A change takes one step per level, plus one for each maximal free cell below a cell that gets its first or
+ * allocator. Free means without marks of this index: in an index of committed cells, the free cells are those that are
+ * not committed, whether or not a job occupies them.
+ *
+ * A change takes one step per level, plus one for each maximal free cell below a cell that gets its first or
  * loses its last mark.
  */
 export class FreeCellIndex extends CellMarks {
   readonly #isMaximal: Uint8Array
+  /** 16 bits suffice: the configuration limits a rack to 256 positions of 64 accelerators. */
   readonly #maximalByRack: Uint16Array
   readonly #freeByRack: Int32Array
   readonly #freeByPool: Int32Array
@@ -160,21 +167,21 @@
       return
     }
     const left = this.tree.firstChild[cell]!
-    if (this.marksOn(cell) > 0 || left === NO_CELL) return
+    if (this.marksOn(cell) > 0 || left === NO_INDEX) return
     this.#collectMaximal(left, minLevel, found)
     this.#collectMaximal(left + 1, minLevel, found)
   }
 
   #splitDownTo (cell: number): void {
-    let block = cell
-    while (this.#isMaximal[block] === 0) block = this.tree.parent[block]!
-    this.#removeMaximal(block)
-    for (let child = cell; child !== block; child = this.tree.parent[child]!) this.#addMaximal(this.#buddy(child))
+    let ancestor = cell
+    while (this.#isMaximal[ancestor] === 0) ancestor = this.tree.parent[ancestor]!
+    this.#removeMaximal(ancestor)
+    for (let child = cell; child !== ancestor; child = this.tree.parent[child]!) this.#addMaximal(this.#buddy(child))
   }
 
   #coalesce (cell: number): void {
     let current = cell
-    while (this.tree.parent[current] !== NO_CELL && this.#isMaximal[this.#buddy(current)] === 1) {
+    while (this.tree.parent[current] !== NO_INDEX && this.#isMaximal[this.#buddy(current)] === 1) {
       this.#removeMaximal(this.#buddy(current))
       current = this.tree.parent[current]!
     }
@@ -187,7 +194,7 @@
       return
     }
     const left = this.tree.firstChild[cell]!
-    if (this.marksOn(cell) > 0 || left === NO_CELL) return
+    if (this.marksOn(cell) > 0 || left === NO_INDEX) return
     this.#removeMaximalWithin(left)
     this.#removeMaximalWithin(left + 1)
   }
--- a/packages/placement/src/organisations.ts
+++ b/packages/placement/src/organisations.ts
@@ -3,7 +3,10 @@
 
 interface UsageRecord {
   acceleratorsInUse: number
-  /** Exponentially decayed accelerator-milliseconds up to `updatedMs`. */
+  /**
+   * Exponentially decayed accelerator-milliseconds up to `updatedMs`. Approximate: use since the last update is added
+   * without decay, so the value depends on how often it is updated.
+   */
   attainedAcceleratorMs: number
   updatedMs: number
 }
@@ -45,7 +48,10 @@
     record.acceleratorsInUse += accelerators
   }
 
-  /** Attained service relative to the quota: accelerators in use plus decayed past use, divided by the quota. */
+  /**
+   * Attained service relative to the quota: accelerators in use plus decayed past use, divided by the quota. Dividing
+   * the past accelerator-milliseconds by the half-life turns them into accelerators.
+   */
   attainedShare (organisationId: string, nowMs: number): number {
     const record = this.#recordAt(organisationId, nowMs)
     return (record.acceleratorsInUse + record.attainedAcceleratorMs / this.#halfLifeMs) /
--- a/packages/placement/src/placements.ts
+++ b/packages/placement/src/placements.ts
@@ -5,7 +5,7 @@
 import type { Binding } from './guarantees.js'
 import type { GangPlan } from './job-record.js'
 
-/** Converts a plan to a placement; task `i` gets the cell at index `i`. */
+/** Converts a plan with a cell for each task to a placement; task `i` gets the cell at index `i`. */
 export function toPlacement (tree: CellTree, plan: GangPlan): Placement {
   const tasks: TaskPlacement[] = plan.cells.map((cell, taskIndex) => ({
     taskIndex,
@@ -21,7 +21,7 @@
 
 /**
  * Restores the plan of a recorded placement. Tasks on workers that left the inventory have no cell. If the guarantee no
- * longer covers all cells, the job counts as running on lent capacity.
+ * longer covers all cells, the plan is one on lent capacity; the placement itself is not changed.
  */
 export function restorePlan (fleet: Fleet, spec: JobSpec, placement: Placement): GangPlan {
   const cells: number[] = []
@@ -47,15 +47,16 @@
   return bindings
 }
 
+/** Existing bindings come first, as several tasks may share one guaranteed cell. */
 function restoreBinding (fleet: Fleet, spec: JobSpec, cell: number): Binding | undefined {
   const states = fleet.guarantees.forOrganisation(spec.organisationId, spec.acceleratorModel)
-  const candidates = states.map(state => ({ state, bound: fleet.tree.ancestor(cell, state.level) }))
-  for (const { state, bound } of candidates) {
-    const existing = bound === undefined ? undefined : fleet.guarantees.bindingOf(bound)
+  const candidates = states.map(state => ({ state, cellToBind: fleet.tree.ancestor(cell, state.level) }))
+  for (const { state, cellToBind } of candidates) {
+    const existing = cellToBind === undefined ? undefined : fleet.guarantees.bindingOf(cellToBind)
     if (existing?.state === state) return existing
   }
-  for (const { state, bound } of candidates) {
-    const created = bound === undefined ? undefined : fleet.guarantees.restoreBinding(state, bound)
+  for (const { state, cellToBind } of candidates) {
+    const created = cellToBind === undefined ? undefined : fleet.guarantees.restoreBinding(state, cellToBind)
     if (created !== undefined) return created
   }
   return undefined
--- a/packages/placement/src/plan-finder.ts
+++ b/packages/placement/src/plan-finder.ts
@@ -8,14 +8,17 @@
 import type { ReservationTable } from './reservation-table.js'
 import type { PlacementSettings } from './settings.js'
 
-/** Lost run time that doubles the cost of preempting a job without checkpoints. */
-const LOST_WORK_DOUBLING_MS = 60_000
-/** Factor on the preemption cost of a job by its priority. */
+/** Run time whose loss adds the base cost of preempting a job without checkpoints once more. */
+const LOST_WORK_UNIT_MS = 60_000
+/** Factor on the preemption cost of a job by its priority; jobs of low priority are preferred as victims. */
 const PRIORITY_COST_FACTOR: Readonly<Record<JobPriority, number>> = { urgent: 100, normal: 2, low: 1 }
-/** Factor on the preemption cost of jobs that exceed their declared run time, so that they are preempted first. */
+/** Factor on the preemption cost of jobs that exceed their declared run time, so that they are preferred as victims. */
 const OVERRUN_COST_FACTOR = 0.1
 
-/** Finds plans without committing them, except that a guaranteed plan binds cells, released with their last task. */
+/**
+ * Finds plans without applying them. The cells of a guaranteed plan are bound when it is returned, so the caller must
+ * occupy or claim them at once: a binding is released only when its last user leaves.
+ */
 export class PlanFinder {
   readonly #fleet: Fleet
   readonly #policy: PlacementPolicy
@@ -45,8 +48,10 @@
   }
 
   /**
-   * Finds a plan of at most `remainingQuota` accelerators. Free cells come first, so that guaranteed cells are bound
-   * and jobs preempted only if the gang does not fit into free cells.
+   * Finds a plan. Free cells come first, so that guaranteed cells are bound and jobs preempted only if the gang does
+   * not fit into free cells.
+   *
+   * @param remainingQuota most accelerators of a plan on lent capacity; a guaranteed plan is not compared with it
    */
   find (job: JobRecord, remainingQuota: number, nowMs: number): GangPlan | undefined {
     this.#nowMs = nowMs
@@ -112,11 +117,12 @@
     return keys
   }
 
+  /** The part that does not depend on the job's size counts jobs, so that fewer are preempted at about equal cost. */
   #preemptionCost (victim: JobRecord): number {
     if (victim.isBeingPreempted || victim.isTerminating) return 0
     const { priority, preemption } = victim.spec
     const lostMs = preemption === 'checkpoint' ? 0 : this.#nowMs - victim.startedMs
-    const lostWork = 1 + lostMs / LOST_WORK_DOUBLING_MS
+    const lostWork = 1 + lostMs / LOST_WORK_UNIT_MS
     const overrun = this.#exceedsDeclaredRunTime(victim) ? OVERRUN_COST_FACTOR : 1
     return 1 + victim.heldAccelerators * PRIORITY_COST_FACTOR[priority] * lostWork * overrun
   }
--- a/packages/placement/src/preemption-search.ts
+++ b/packages/placement/src/preemption-search.ts
@@ -6,7 +6,7 @@
 import type { PlacementSettings } from './settings.js'
 import type { GangShape } from './shapes.js'
 
-/** Cost of preempting a job. */
+/** Cost of preempting a job, relative to that of others; has no unit. */
 export type PreemptionCost = (job: JobRecord) => number
 
 /** Part of the fleet that all tasks of a gang must be placed in: a pool, one of its racks or one worker. */
@@ -32,6 +32,7 @@
 export class PreemptionSearch {
   readonly #fleet: Fleet
   readonly #settings: PlacementSettings
+  /** Set by each call of a public method. */
   #costOf: PreemptionCost = () => 1
 
   constructor (fleet: Fleet, settings: PlacementSettings) {
@@ -39,14 +40,14 @@
     this.#settings = settings
   }
 
-  /** Finds a plan within the organisation's guaranteed cells, binding further ones as needed. */
+  /** Finds a plan within the organisation's guaranteed cells, binding further ones, free or lent, as needed. */
   findGuaranteed (job: JobRecord, costOf: PreemptionCost): GangPlan | undefined {
     this.#costOf = costOf
     const { organisationId, acceleratorModel } = job.spec
-    const guarantees = this.#fleet.guarantees.forOrganisation(organisationId, acceleratorModel)
-    if (guarantees.length === 0) return undefined
-    const domain = this.#cheapestDomain(job.shape, guarantees)
-    const allocation = domain === undefined ? undefined : this.#allocate(job.shape, guarantees, domain)
+    const states = this.#fleet.guarantees.forOrganisation(organisationId, acceleratorModel)
+    if (states.length === 0) return undefined
+    const domain = this.#cheapestDomain(job.shape, states)
+    const allocation = domain === undefined ? undefined : this.#allocate(job.shape, states, domain)
     return allocation === undefined ? undefined : createGuaranteedPlan(allocation)
   }
 
@@ -57,7 +58,7 @@
    */
   findLent (shape: GangShape, isVictim: VictimFilter, costOf: PreemptionCost): GangPlan | undefined {
     this.#costOf = costOf
-    for (const { pool, level } of shape.options) {
+    for (const { pool, level } of shape.poolLevels) {
       const candidates = this.#lentCandidates(shape, pool, level, isVictim)
       if (candidates !== undefined) return createLentPlan(candidates)
     }
@@ -97,13 +98,14 @@
     return best
   }
 
-  #cheapestDomain (shape: GangShape, guarantees: readonly GuaranteeState[]): TopologyDomain | undefined {
+  #cheapestDomain (shape: GangShape, states: readonly GuaranteeState[]): TopologyDomain | undefined {
     let best: TopologyDomain | undefined
     let bestCost = Infinity
-    for (const domain of this.#domains(shape, guarantees)) {
-      const allocation = this.#allocate(shape, guarantees, domain)
+    for (const domain of this.#domains(shape, states)) {
+      const allocation = this.#allocate(shape, states, domain)
       if (allocation === undefined) continue
       this.#releaseBindings(allocation.newBindings)
+      // At equal cost, the domain that needs fewer new bindings is preferred.
       const cost = totalCost(allocation.candidates) + allocation.newBindings.length
       if (cost < bestCost) [best, bestCost] = [domain, cost]
       if (totalCost(allocation.candidates) === 0) break
@@ -111,13 +113,13 @@
     return best
   }
 
-  * #domains (shape: GangShape, guarantees: readonly GuaranteeState[]): Generator<TopologyDomain> {
-    for (const { pool, level } of shape.options) {
+  * #domains (shape: GangShape, states: readonly GuaranteeState[]): Generator<TopologyDomain> {
+    for (const { pool, level } of shape.poolLevels) {
       if (shape.adjacency === 'none' || (shape.tasks === 1 && shape.adjacency === 'rack')) {
         yield { pool, level }
         continue
       }
-      for (const rackIndex of this.#racksOf(pool, guarantees)) {
+      for (const rackIndex of this.#racksOf(pool, states)) {
         if (shape.adjacency === 'rack') yield { pool, level, rackIndex }
         else yield * this.#workersOf(pool, level, rackIndex)
       }
@@ -131,21 +133,22 @@
   }
 
   /** Racks with bound cells, then racks with free cells, then racks whose lent cells would have to be reclaimed. */
-  #racksOf (pool: CellPool, guarantees: readonly GuaranteeState[]): Set<number> {
+  #racksOf (pool: CellPool, states: readonly GuaranteeState[]): Set<number> {
     const racks = new Set<number>()
-    for (const state of guarantees) {
+    for (const state of states) {
       for (const cell of state.boundCells) {
         const rackIndex = this.#fleet.tree.rack[cell]!
         if (this.#fleet.tree.racks[rackIndex]!.poolIndex === pool.index) racks.add(rackIndex)
       }
     }
-    for (const state of guarantees) {
+    for (const state of states) {
       if (state.boundCells.size === state.guarantee.cells) continue
       for (const rackIndex of this.#racksForBinding(pool, state)) racks.add(rackIndex)
     }
     return racks
   }
 
+  /** Racks with free cells that could be bound, then racks with any such cells; up to `candidateRacks` each. */
   * #racksForBinding (pool: CellPool, state: GuaranteeState): Generator<number> {
     for (const marks of [this.#fleet.used, this.#fleet.committed]) {
       let remaining = this.#settings.candidateRacks
@@ -173,13 +176,13 @@
     }
   }
 
-  #allocate (shape: GangShape, guarantees: readonly GuaranteeState[], domain: TopologyDomain): Allocation | undefined {
+  #allocate (shape: GangShape, states: readonly GuaranteeState[], domain: TopologyDomain): Allocation | undefined {
     const newBindings: Binding[] = []
-    let candidates = guarantees.flatMap(state =>
+    let candidates = states.flatMap(state =>
       [...state.boundCells].flatMap(cell => this.#candidatesInBoundCell(cell, domain)))
     let chosen = cheapest(candidates, shape.tasks)
     while (chosen.length < shape.tasks) {
-      const binding = this.#bindAnotherCell(guarantees, domain, shape.tasks - chosen.length)
+      const binding = this.#bindAnotherCell(states, domain, shape.tasks - chosen.length)
       if (binding === undefined) {
         this.#releaseBindings(newBindings)
         return undefined
@@ -207,8 +210,8 @@
    * Binds one more cell, preferably of the guarantee with the smallest cells that can hold all remaining tasks,
    * otherwise of the one with the largest cells.
    */
-  #bindAnotherCell (guarantees: readonly GuaranteeState[], domain: TopologyDomain, tasks: number): Binding | undefined {
-    const usable = guarantees.filter(state =>
+  #bindAnotherCell (states: readonly GuaranteeState[], domain: TopologyDomain, tasks: number): Binding | undefined {
+    const usable = states.filter(state =>
       state.level >= domain.level && state.boundCells.size < state.guarantee.cells)
     const sufficient = usable.filter(state => 2 ** (state.level - domain.level) >= tasks)
     const others = usable.filter(state => !sufficient.includes(state)).reverse()
@@ -219,17 +222,17 @@
     return undefined
   }
 
-  /** Binds a free cell if the reclaim check allows it, otherwise the cheapest occupied cell that it allows. */
+  /** Binds a free cell if the reclaim check allows it, otherwise the least occupied cell that it allows. */
   #bindInDomain (state: GuaranteeState, domain: TopologyDomain): Binding | undefined {
     const racks = domain.rackIndex === undefined ? this.#racksForBinding(domain.pool, state) : [domain.rackIndex]
-    const occupied: Array<{ cell: number, cost: number }> = []
+    const occupied: Array<{ cell: number, occupancy: number }> = []
     for (const rackIndex of new Set(racks)) {
       const candidates = this.#bindableCells(state, domain, rackIndex)
-      const binding = this.#bindFirstFeasible(state, candidates.filter(({ cost }) => cost === 0))
+      const binding = this.#bindFirstFeasible(state, candidates.filter(({ occupancy }) => occupancy === 0))
       if (binding !== undefined) return binding
-      occupied.push(...candidates.filter(({ cost }) => cost > 0))
+      occupied.push(...candidates.filter(({ occupancy }) => occupancy > 0))
     }
-    return this.#bindFirstFeasible(state, occupied.sort((left, right) => left.cost - right.cost))
+    return this.#bindFirstFeasible(state, occupied.sort((left, right) => left.occupancy - right.occupancy))
   }
 
   #bindFirstFeasible (state: GuaranteeState, candidates: ReadonlyArray<{ cell: number }>): Binding | undefined {
@@ -240,17 +243,17 @@
     return undefined
   }
 
-  /** Cells of a rack that a guarantee could be bound to; the cost of a used cell grows with the marks below it. */
+  /** Cells of a rack that a guarantee could be bound to; `occupancy` is 0 if the cell is free, else 1 + marks below. */
   #bindableCells (
     state: GuaranteeState, domain: TopologyDomain, rackIndex: number
-  ): Array<{ cell: number, cost: number }> {
+  ): Array<{ cell: number, occupancy: number }> {
     const { committed, used } = this.#fleet
-    const found: Array<{ cell: number, cost: number }> = []
+    const found: Array<{ cell: number, occupancy: number }> = []
     for (const maximalCell of committed.listMaximalCells(rackIndex, state.level)) {
       for (const cell of this.#fleet.availableCells(maximalCell, state.level)) {
         if (domain.workerIndex !== undefined && !this.#overlapsWorker(cell, domain.workerIndex)) continue
-        const cost = used.isFree(cell) ? 0 : 1 + used.marksBelow(cell)
-        found.push({ cell, cost })
+        const occupancy = used.isFree(cell) ? 0 : 1 + used.marksBelow(cell)
+        found.push({ cell, occupancy })
       }
     }
     return found
--- a/packages/placement/src/reclaim-check.ts
+++ b/packages/placement/src/reclaim-check.ts
@@ -35,7 +35,8 @@
 /**
  * Checks that the inventory can provide all guarantees when all workers are available and free.
  *
- * @returns `guarantee_unsatisfiable` with the guarantees and their missing cells; undefined if all can be provided
+ * @returns `guarantee_unsatisfiable` with the guarantees and their missing cells, where cells that are missing on a
+ * level are counted for each guarantee of that level; undefined if all can be provided
  * @example
  * const failure = validateGuarantees(configuration)
  * if (failure !== undefined) console.log(failure.detail)
@@ -67,7 +68,7 @@
 
 function describeShortage (guarantee: Guarantee, count: number): string {
   return `guarantee ${guarantee.guaranteeId} needs ${guarantee.cells} cells of ${guarantee.acceleratorsPerCell} ` +
-    `accelerators ${guarantee.acceleratorModel}, the inventory cannot provide ${count} of them`
+    `${guarantee.acceleratorModel} accelerators, the inventory cannot provide ${count} of these cells`
 }
 
 function guaranteesByModel (configuration: Configuration): Map<string, Guarantee[]> {
--- a/packages/placement/src/reservation-table.ts
+++ b/packages/placement/src/reservation-table.ts
@@ -1,4 +1,7 @@
-/** Active start-time reservations, at most one for each accelerator model. */
+/**
+ * Active start-time reservations, at most one for each accelerator model: for the first job in the waiting order that
+ * does not fit, unless one of higher priority that does not fit takes its place.
+ */
 import type { Fleet } from './fleet.js'
 import type { JobRecord } from './job-record.js'
 import type { Reservation } from './start-forecaster.js'
--- a/packages/placement/src/run-times.ts
+++ b/packages/placement/src/run-times.ts
@@ -24,9 +24,9 @@
    * The configured quantile of the recorded run times of a job's class; undefined until enough runs have finished.
    *
    * @example
-   * history.learnedMs(spec) ?? spec.declaredRunMs
+   * history.learnedRunMs(spec) ?? spec.declaredRunMs
    */
-  learnedMs (spec: JobSpec): number | undefined {
+  learnedRunMs (spec: JobSpec): number | undefined {
     const runs = this.#runsByClass.get(classKey(spec))
     if (runs === undefined || runs.length < this.#settings.runHistoryMin) return undefined
     const sorted = [...runs].sort((left, right) => left - right)
--- a/packages/placement/src/scheduler.ts
+++ b/packages/placement/src/scheduler.ts
@@ -23,12 +23,14 @@
 
 /** A job that runs longer than its estimate is expected to run on for this fraction of its elapsed time. */
 const OVERRUN_EXTENSION_FACTOR = 0.5
+/** Minimum of this extension. */
 const OVERRUN_EXTENSION_MIN_MS = 1_000
 
-/** Result of trying to place a waiting job. */
+/** Result of a trial: one attempt to place a waiting job. */
 type TrialResult = 'placed' | 'claimed' | 'no_fit' | 'over_quota' | 'stopped'
 
-interface QueueEntry {
+/** Entry of the heap of a pass: a job that may be tried, usually the first one of an open group. */
+interface PassEntry {
   readonly group: WaitingGroup
   readonly job: JobRecord
   readonly orderKey: WaitingOrderKey
@@ -36,7 +38,7 @@
 
 /**
  * Places gangs while keeping all guarantees reclaimable. All calls are synchronous; decisions update the scheduler's
- * index immediately.
+ * record of jobs and cells immediately.
  *
  * @example
  * const scheduler = new GangScheduler(defaultPlacementSettings, new BuddyCellPolicy())
@@ -56,13 +58,17 @@
   readonly #drainingWorkerIds = new Set<string>()
   /** First job that did not fit, by accelerator model; used only if the policy does not backfill. */
   readonly #blockingJobs = new Map<string, JobRecord>()
+  /** Jobs whose claimed cells have been vacated by all preempted jobs; placed by the next pass. */
   readonly #readyClaims = new Set<JobRecord>()
+  /** Accelerator models whose available cells changed since the last pass, so that their jobs are tried again. */
   readonly #freedModels = new Set<string>()
+  /** Organisations that may have more quota left since the last pass. */
   readonly #freedOrganisationIds = new Set<string>()
+  /** Failures of refused and of stopped jobs, by job ID. */
   readonly #refusals = new Map<string, Failure>()
   #configuration: Configuration = emptyConfiguration()
   #rules: Rules = defaultRules
-  #waiting = new WaitingJobs()
+  #waitingJobs = new WaitingJobs()
   #fleet!: Fleet
   #shapes!: ShapeTable
   #reservations!: ReservationTable
@@ -83,7 +89,7 @@
     this.#usage = new OrganisationUsage(settings.serviceHalfLifeMs)
     this.#runTimes = new RunTimeHistory(settings)
     this.#workerHealth = new WorkerHealth(settings)
-    this.#buildIndex()
+    this.#buildFleetState()
   }
 
   /**
@@ -95,14 +101,14 @@
     return validateGuarantees(configuration)
   }
 
-  /** Activates a configuration. Running jobs stay; the index is rebuilt if the workers or guarantees changed. */
+  /** Activates a configuration. Running jobs stay; the cells are rebuilt if workers or guarantees changed. */
   applyConfiguration (configuration: Configuration): void {
     const before = this.#configuration
     this.#configuration = configuration
     this.#rules = configuration.rules
     this.#usage.configure(configuration.organisations)
-    const isIndexUnchanged = before.workers === configuration.workers && before.guarantees === configuration.guarantees
-    if (!isIndexUnchanged) this.#rebuildIndex()
+    const isFleetUnchanged = before.workers === configuration.workers && before.guarantees === configuration.guarantees
+    if (!isFleetUnchanged) this.#rebuildFleetState()
     for (const organisationId of configuration.organisations.keys()) this.#freedOrganisationIds.add(organisationId)
   }
 
@@ -113,7 +119,7 @@
     this.#refreshWorker(workerId)
   }
 
-  /** Records that a worker was lost. Its jobs keep their cells until `ended` or `reclaimed` is called for them. */
+  /** Records that a worker was lost. Its jobs keep their cells until they end or are requeued. */
   workerLost (workerId: string, nowMs: number): void {
     this.#advanceClock(nowMs)
     this.#joinedWorkerIds.delete(workerId)
@@ -145,20 +151,21 @@
       this.#enqueue(createJobRecord(spec, shape, this.#nextSequence++, nowMs))
       return undefined
     }
+    // Under the same ID, this refusal would be taken for the fate of the existing job.
     if (refusal.kind !== 'job_exists') this.#recordRefusal(spec.jobId, refusal)
     return refusal
   }
 
-  /** Restores a running job from its recorded placement after a leader change. */
+  /** Restores a running job from its recorded placement after a leader change; waiting jobs are submitted again. */
   restore (spec: JobSpec, placement: Placement, startedMs: number): void {
     const job = createJobRecord(spec, this.#shapes.shapeOf(spec), this.#nextSequence++, startedMs)
     job.startedMs = startedMs
     job.placement = placement
     this.#jobs.set(spec.jobId, job)
-    this.#indexPlacedJob(job)
+    this.#occupyRecordedPlacement(job)
   }
 
-  /** Removes a waiting job immediately; a placed job keeps its cells until `ended` or `reclaimed`. */
+  /** Removes a waiting or claiming job immediately; a placed job keeps its cells until its end is recorded. */
   cancel (jobId: string, nowMs: number): void {
     this.#advanceClock(nowMs)
     const job = this.#jobs.get(jobId)
@@ -167,22 +174,26 @@
     else this.#removeUnplaced(job)
   }
 
-  /** Records that a task failed on a worker. The job keeps its cells until `ended` or `reclaimed`. */
+  /** Records that a task failed on a worker. A placed job keeps its cells until it ends or is requeued. */
   taskFailed (jobId: string, workerId: string, nowMs: number): void {
     this.#advanceClock(nowMs)
     const job = this.#jobs.get(jobId)
     if (job === undefined || job.isTerminating) return
     const isWaiting = job.group !== undefined
-    if (isWaiting) this.#waiting.remove(job)
+    // The failed workers determine the group of a waiting job.
+    if (isWaiting) this.#waitingJobs.remove(job)
     job.hasFailedTask = true
     job.failedWorkerIds.add(workerId)
-    if (isWaiting) this.#waiting.add(job)
+    if (isWaiting) this.#waitingJobs.add(job)
     if (this.#workerHealth.recordFailure(workerId, jobId, nowMs)) this.#refreshWorker(workerId)
     if (job.failedWorkerIds.size < this.#settings.maxFailedPlacements) return
     this.#stop(job, `tasks failed on ${job.failedWorkerIds.size} different workers`)
   }
 
-  /** Frees the cells of a job whose leases have all been released. */
+  /**
+   * Removes a job that ended. Frees the cells of a placed job, whose leases must all have been released, and records a
+   * success unless a task failed or the job was cancelled, stopped or preempted.
+   */
   ended (jobId: string, nowMs: number): void {
     this.#advanceClock(nowMs)
     const job = this.#jobs.get(jobId)
@@ -196,7 +207,10 @@
     this.#jobs.delete(jobId)
   }
 
-  /** Requeues a job that has vacated its cells after preemption, or whose gang has to restart. */
+  /**
+   * Requeues a job that has vacated its cells, after preemption or because its gang has to restart. A job that was
+   * cancelled or stopped meanwhile is removed.
+   */
   reclaimed (jobId: string, nowMs: number): void {
     this.#advanceClock(nowMs)
     const job = this.#jobs.get(jobId)
@@ -234,16 +248,16 @@
     return this.#reservations.withoutReservations(() => buildFleetReport({
       fleet: this.#fleet,
       jobs: [...this.#jobs.values()],
-      waitingJobs: this.#waiting.size,
+      waitingJobs: this.#waitingJobs.size,
       quarantinedWorkerIds: this.#workerHealth.quarantinedWorkerIds(),
       drainingWorkerIds: [...this.#drainingWorkerIds].sort(),
-      lostWorkerIds: this.#lostWorkerIds()
+      missingOrQuarantinedWorkerIds: this.#missingOrQuarantinedWorkerIds()
     }))
   }
 
   /** Checks that all organisations could use their whole guarantees at the same time. */
   checkReclaimable (): ReclaimCheck {
-    return this.#fleet.guarantees.check()
+    return this.#fleet.guarantees.checkReclaimable()
   }
 
   #advanceClock (nowMs: number): void {
@@ -261,47 +275,48 @@
     }
     if (!shape.isPossible) return failure('impossible_shape', describeImpossibleShape(spec))
     const quota = this.#usage.quota(organisationId)
-    if (shape.accelerators <= quota) return undefined
+    if (shape.minAccelerators <= quota) return undefined
     return failure('quota_exceeded',
-      `the job needs ${shape.accelerators} accelerators, the quota of organisation ${organisationId} is ${quota}`)
+      `the job needs ${shape.minAccelerators} accelerators, the quota of organisation ${organisationId} is ${quota}`)
   }
 
   #enqueue (job: JobRecord): void {
     job.state = 'waiting'
     this.#jobs.set(job.spec.jobId, job)
-    this.#waiting.add(job)
+    this.#waitingJobs.add(job)
   }
 
-  // Index
+  // Fleet state
 
-  #buildIndex (): void {
+  /** Creates the parts that depend on the inventory: cells, shapes, reservations, plan finder and forecaster. */
+  #buildFleetState (): void {
     this.#fleet = new Fleet(this.#configuration)
     this.#shapes = new ShapeTable(this.#fleet.tree)
     this.#reservations = new ReservationTable(this.#fleet)
     this.#planFinder = new PlanFinder(this.#fleet, this.#settings, this.#policy, this.#reservations,
       spec => this.#estimateRunMs(spec))
     this.#forecaster = new StartForecaster(this.#fleet, this.#settings, job => this.#estimatedEndMs(job))
-    for (const { workerId } of this.#fleet.tree.workers) this.#fleet.setAvailable(workerId, this.#isUsable(workerId))
+    for (const { workerId } of this.#fleet.tree.workers) this.#fleet.setAvailable(workerId, this.#isInService(workerId))
   }
 
-  #rebuildIndex (): void {
+  #rebuildFleetState (): void {
     for (const job of this.#jobs.values()) if (job.state === 'claiming') this.#releaseClaim(job)
     this.#blockingJobs.clear()
-    this.#buildIndex()
-    this.#waiting = new WaitingJobs()
+    this.#buildFleetState()
+    this.#waitingJobs = new WaitingJobs()
     for (const job of this.#jobs.values()) {
       job.shape = this.#shapes.shapeOf(job.spec)
-      if (job.state === 'waiting') this.#waiting.add(job)
-      else this.#reindexPlacedJob(job)
+      if (job.state === 'waiting') this.#waitingJobs.add(job)
+      else this.#reoccupyRecordedPlacement(job)
     }
   }
 
-  #reindexPlacedJob (job: JobRecord): void {
+  #reoccupyRecordedPlacement (job: JobRecord): void {
     this.#usage.addInUse(job.spec.organisationId, -job.heldAccelerators, this.#nowMs)
-    this.#indexPlacedJob(job)
+    this.#occupyRecordedPlacement(job)
   }
 
-  #indexPlacedJob (job: JobRecord): void {
+  #occupyRecordedPlacement (job: JobRecord): void {
     const placement = job.placement!
     job.state = 'placed'
     job.plan = restorePlan(this.#fleet, job.spec, placement)
@@ -310,27 +325,29 @@
     this.#usage.addInUse(job.spec.organisationId, job.heldAccelerators, this.#nowMs)
   }
 
-  #isUsable (workerId: string): boolean {
+  /** Whether a worker may get new tasks, provided that it is in the inventory. */
+  #isInService (workerId: string): boolean {
     return this.#joinedWorkerIds.has(workerId) && !this.#drainingWorkerIds.has(workerId) &&
       !this.#workerHealth.isQuarantined(workerId)
   }
 
-  #lostWorkerIds (): string[] {
+  #missingOrQuarantinedWorkerIds (): string[] {
     const ids = this.#fleet.tree.workers.map(worker => worker.workerId)
     return ids.filter(workerId => !this.#joinedWorkerIds.has(workerId) || this.#workerHealth.isQuarantined(workerId))
   }
 
   #refreshWorker (workerId: string): void {
     const worker = this.#configuration.workers.get(workerId)
-    const isUsable = this.#isUsable(workerId)
-    if (worker === undefined || this.#fleet.isAvailable(workerId) === isUsable) return
-    this.#fleet.setAvailable(workerId, isUsable)
+    const isAvailable = this.#isInService(workerId)
+    if (worker === undefined || this.#fleet.isAvailable(workerId) === isAvailable) return
+    this.#fleet.setAvailable(workerId, isAvailable)
+    // Also after a loss, so that the jobs of the model are tried again with the changed set of workers.
     this.#freedModels.add(worker.acceleratorModel)
-    if (isUsable) return
+    if (isAvailable) return
     for (const job of this.#fleet.claimantsOnWorker(workerId)) this.#requeueClaim(job)
   }
 
-  // Queue
+  // Waiting order
 
   #reopenGroups (freedModels: ReadonlySet<string>): void {
     if (freedModels.size === 0 && this.#freedOrganisationIds.size === 0) return
@@ -338,7 +355,7 @@
       this.#planFinder.capacityFreed(model)
       this.#blockingJobs.delete(model)
     }
-    this.#waiting.reopen(freedModels, this.#freedOrganisationIds)
+    this.#waitingJobs.reopen(freedModels, this.#freedOrganisationIds)
     this.#freedOrganisationIds.clear()
   }
 
@@ -352,55 +369,56 @@
   }
 
   #tryWaitingJobs (freedModels: ReadonlySet<string>): void {
-    const queue = new Heap<QueueEntry>((left, right) => this.#policy.compareWaiting(left.orderKey, right.orderKey))
+    const heap = new Heap<PassEntry>((left, right) => this.#policy.compareWaiting(left.orderKey, right.orderKey))
     for (const [model, { job, calculatedMs }] of this.#reservations.byModel) {
       const isDue = this.#nowMs - calculatedMs >= this.#settings.reservationRefreshMs
-      if (isDue || freedModels.has(model)) queue.push(this.#entryOf(job))
+      if (isDue || freedModels.has(model)) heap.push(this.#entryOf(job))
     }
-    for (const waiting of this.#waiting.queues) this.#pushNextOpen(queue, waiting)
+    for (const queue of this.#waitingJobs.queues) this.#pushNextOpen(heap, queue)
     this.#failedTrials = 0
-    for (let entry = queue.pop(); entry !== undefined; entry = queue.pop()) {
+    for (let entry = heap.pop(); entry !== undefined; entry = heap.pop()) {
       if (this.#failedTrials >= this.#settings.maxFailedTrials) break
-      this.#processEntry(queue, entry)
+      this.#processEntry(heap, entry)
     }
   }
 
-  #entryOf (job: JobRecord): QueueEntry {
+  #entryOf (job: JobRecord): PassEntry {
     return { group: job.group!, job, orderKey: this.#orderKeyOf(job) }
   }
 
   /** Placing jobs raises the attained share of their organisation, so an entry may have to be queued again. */
-  #processEntry (queue: Heap<QueueEntry>, { group, job, orderKey }: QueueEntry): void {
+  #processEntry (heap: Heap<PassEntry>, { group, job, orderKey }: PassEntry): void {
+    // The job was placed, stopped or moved to another group since the entry was pushed.
     if (job.group !== group) {
-      this.#pushNextOpen(queue, group.queue)
+      this.#pushNextOpen(heap, group.queue)
       return
     }
     const current = this.#orderKeyOf(job)
-    if (this.#policy.compareWaiting(current, orderKey) > 0) queue.push({ group, job, orderKey: current })
-    else if (this.#isBlocked(job, current)) this.#skipGroup(queue, group)
-    else this.#scheduleJob(queue, group, job)
+    if (this.#policy.compareWaiting(current, orderKey) > 0) heap.push({ group, job, orderKey: current })
+    else if (this.#isBlocked(job, current)) this.#skipGroup(heap, group)
+    else this.#scheduleJob(heap, group, job)
   }
 
   /** Closes a group of a blocked model; it reopens when capacity of the model is freed, which also ends the block. */
-  #skipGroup (queue: Heap<QueueEntry>, group: WaitingGroup): void {
-    this.#waiting.close(group)
-    this.#pushNextOpen(queue, group.queue)
+  #skipGroup (heap: Heap<PassEntry>, group: WaitingGroup): void {
+    this.#waitingJobs.close(group)
+    this.#pushNextOpen(heap, group.queue)
   }
 
-  #scheduleJob (queue: Heap<QueueEntry>, group: WaitingGroup, job: JobRecord): void {
+  #scheduleJob (heap: Heap<PassEntry>, group: WaitingGroup, job: JobRecord): void {
     const isFirst = group.first === job
     const result = this.#reservations.hasReservation(job) ? this.#tryReservationHolder(job) : this.#tryJob(job)
-    if (result === 'no_fit') this.#handleNoFit(job)
+    if (result === 'no_fit') this.#reserveOrBlock(job)
     if (result === 'no_fit' || result === 'over_quota') {
       this.#failedTrials += 1
-      if (isFirst) this.#waiting.close(group)
+      if (isFirst) this.#waitingJobs.close(group)
     }
-    this.#pushNextOpen(queue, group.queue)
+    this.#pushNextOpen(heap, group.queue)
   }
 
-  #pushNextOpen (queue: Heap<QueueEntry>, waiting: WaitingQueue): void {
-    const group = waiting.firstOpen()
-    if (group !== undefined) queue.push(this.#entryOf(group.first!))
+  #pushNextOpen (heap: Heap<PassEntry>, queue: WaitingQueue): void {
+    const group = queue.firstOpen()
+    if (group !== undefined) heap.push(this.#entryOf(group.first!))
   }
 
   #isBlocked (job: JobRecord, orderKey: WaitingOrderKey): boolean {
@@ -408,7 +426,11 @@
     return blocking !== undefined && this.#policy.compareWaiting(orderKey, this.#orderKeyOf(blocking)) > 0
   }
 
-  #handleNoFit (job: JobRecord): void {
+  /**
+   * Reserves cells for a job that does not fit, unless a job of the same or a higher priority holds the reservation of
+   * the model. Without backfilling, the job blocks the model instead.
+   */
+  #reserveOrBlock (job: JobRecord): void {
     const model = job.spec.acceleratorModel
     if (!this.#policy.backfills()) {
       this.#blockingJobs.set(model, job)
@@ -426,19 +448,19 @@
   #tryJob (job: JobRecord): TrialResult {
     const { organisationId } = job.spec
     const remainingQuota = this.#usage.quota(organisationId) - this.#usage.inUse(organisationId)
-    if (job.shape.accelerators > remainingQuota) return 'over_quota'
+    if (job.shape.minAccelerators > remainingQuota) return 'over_quota'
     const plan = job.failedWorkerIds.size === 0
       ? this.#planFinder.find(job, remainingQuota, this.#nowMs)
       : this.#fleet.withoutWorkers(job.failedWorkerIds, () => this.#planFinder.find(job, remainingQuota, this.#nowMs))
     if (plan === undefined) return this.#stopIfNoWorkerRemains(job) ? 'stopped' : 'no_fit'
-    this.#commitPlan(job, plan)
+    this.#applyPlan(job, plan)
     return plan.victims.size === 0 ? 'placed' : 'claimed'
   }
 
   // Decisions
 
-  #commitPlan (job: JobRecord, plan: GangPlan): void {
-    this.#waiting.remove(job)
+  #applyPlan (job: JobRecord, plan: GangPlan): void {
+    this.#waitingJobs.remove(job)
     if (this.#reservations.hasReservation(job)) this.#cancelReservation(job.spec.acceleratorModel)
     job.plan = plan
     job.heldAccelerators = this.#fleet.acceleratorsOf(plan.cells)
@@ -498,7 +520,7 @@
 
   #requeueClaim (job: JobRecord): void {
     this.#releaseClaim(job)
-    this.#waiting.add(job)
+    this.#waitingJobs.add(job)
   }
 
   #vacate (job: JobRecord): void {
@@ -524,7 +546,7 @@
   #removeUnplaced (job: JobRecord): void {
     const model = job.spec.acceleratorModel
     if (job.state === 'claiming') this.#releaseClaim(job)
-    this.#waiting.remove(job)
+    this.#waitingJobs.remove(job)
     if (this.#reservations.hasReservation(job)) this.#cancelReservation(model)
     if (this.#blockingJobs.get(model) === job) this.#freedModels.add(model)
     this.#jobs.delete(job.spec.jobId)
@@ -541,6 +563,11 @@
     if (job.state !== 'placed') this.#removeUnplaced(job)
   }
 
+  /**
+   * Stops a job that could be held by the available workers, but not without those on which its tasks failed.
+   *
+   * @returns whether the job was stopped
+   */
   #stopIfNoWorkerRemains (job: JobRecord): boolean {
     if (job.failedWorkerIds.size === 0 || !this.#canFitEventually(job)) return false
     if (this.#fleet.withoutWorkers(job.failedWorkerIds, () => this.#canFitEventually(job))) return false
@@ -562,7 +589,10 @@
 
   // Reservations
 
-  /** Tries a job in its reserved and all other free cells; keeps or recalculates the reservation if it does not fit. */
+  /**
+   * Tries a job in its reserved and all other free cells; keeps or recalculates the reservation if it does not fit. The
+   * reserved cells count as freed capacity while it is tried, and afterwards if the reservation ends.
+   */
   #tryReservationHolder (job: JobRecord): TrialResult {
     const model = job.spec.acceleratorModel
     const reservation = this.#reservations.remove(model)!
@@ -587,6 +617,7 @@
     this.#reservations.add({ ...forecast, job, calculatedMs: this.#nowMs })
   }
 
+  /** Ends the reservation of a model, if any; its cells count as freed capacity. */
   #cancelReservation (model: string): void {
     if (this.#reservations.remove(model) !== undefined) this.#freedModels.add(model)
   }
@@ -594,7 +625,7 @@
   // Estimates
 
   #estimateRunMs (spec: JobSpec): number {
-    return this.#policy.estimateRunMs(spec, this.#runTimes.learnedMs(spec))
+    return this.#policy.estimateRunMs(spec, this.#runTimes.learnedRunMs(spec))
   }
 
   #estimatedEndMs (job: JobRecord): number {
@@ -626,6 +657,6 @@
 }
 
 function describeImpossibleShape (spec: JobSpec): string {
-  return `the inventory cannot hold ${spec.tasks} tasks of ${spec.acceleratorsPerTask} accelerators ` +
-    `${spec.acceleratorModel}, ${spec.coresPerTask} cores and ${spec.memoryGbPerTask} GB with adjacency ${spec.adjacency}`
+  return `the inventory cannot hold ${spec.tasks} tasks of ${spec.acceleratorsPerTask} ` +
+    `${spec.acceleratorModel} accelerators, ${spec.coresPerTask} cores and ${spec.memoryGbPerTask} GB with adjacency ${spec.adjacency}`
 }
--- a/packages/placement/src/settings.ts
+++ b/packages/placement/src/settings.ts
@@ -20,9 +20,13 @@
   readonly runTimeQuantile: number
   /** Minimum time between two calculations of the same start-time reservation, in milliseconds. */
   readonly reservationRefreshMs: number
-  /** Number of failed placement attempts after which a pass ends; bounds the duration of a pass over a long queue. */
+  /** Number of failed trials (attempts to place a job) after which a pass ends; bounds its duration with many jobs. */
   readonly maxFailedTrials: number
-  /** Number of racks compared when cells are reclaimed or reserved; bounds the cost of one decision. */
+  /**
+   * Number of racks of a pool after which a search for cells to reclaim or reserve takes the best solution found; it
+   * goes on while there is none. To bind a guaranteed cell, this many racks with free cells, this many with free or
+   * lent cells, and the one with the smallest sufficient cell are considered.
+   */
   readonly candidateRacks: number
   /** Number of refused and stopped jobs whose reason is kept for `explain`. */
   readonly explainHistoryLength: number
--- a/packages/placement/src/shapes.ts
+++ b/packages/placement/src/shapes.ts
@@ -4,13 +4,19 @@
 
 /** Shape of a gang; shared by all jobs with the same requirements. */
 export interface GangShape {
+  /** Equal for all jobs with the same requirements. */
   readonly key: string
+  /** Number of tasks. */
   readonly tasks: number
+  /** With `rack`, the tasks are placed on workers of the same rack and the same type; with `worker`, on one worker. */
   readonly adjacency: Adjacency
-  /** Pools that can hold a task, with the level of the cell that it needs there. */
-  readonly options: ReadonlyArray<{ readonly pool: CellPool, readonly level: number }>
+  /**
+   * Pools that can hold a task, with the level of the cell that it needs there. Only the tasks of a gang with adjacency
+   * `none` may be spread over several pools.
+   */
+  readonly poolLevels: ReadonlyArray<{ readonly pool: CellPool, readonly level: number }>
   /** Fewest accelerators that the gang can occupy; 0 if no pool can hold a task. */
-  readonly accelerators: number
+  readonly minAccelerators: number
   /** Whether the inventory could hold the gang if all workers were available and free. */
   readonly isPossible: boolean
 }
@@ -53,39 +59,39 @@
   }
 
   #create (key: string, spec: JobSpec): GangShape {
-    const options = this.#options(spec)
+    const options = this.#poolLevels(spec)
     const smallest = options.reduce((least, option) => Math.min(least, 2 ** option.level), Infinity)
     return {
       key,
       tasks: spec.tasks,
       adjacency: spec.adjacency,
-      options,
-      accelerators: options.length === 0 ? 0 : smallest * spec.tasks,
+      poolLevels: options,
+      minAccelerators: options.length === 0 ? 0 : smallest * spec.tasks,
       isPossible: this.#isPossible(spec, options)
     }
   }
 
-  #options (spec: JobSpec): Array<{ pool: CellPool, level: number }> {
-    const options: Array<{ pool: CellPool, level: number }> = []
+  #poolLevels (spec: JobSpec): Array<{ pool: CellPool, level: number }> {
+    const poolLevels: Array<{ pool: CellPool, level: number }> = []
     for (const pool of this.#tree.pools) {
       if (pool.acceleratorModel !== spec.acceleratorModel) continue
       const level = taskLevel(spec, pool)
-      if (level !== undefined) options.push({ pool, level })
+      if (level !== undefined) poolLevels.push({ pool, level })
     }
-    return options
+    return poolLevels
   }
 
-  #isPossible (spec: JobSpec, options: GangShape['options']): boolean {
+  #isPossible (spec: JobSpec, poolLevels: GangShape['poolLevels']): boolean {
     switch (spec.adjacency) {
-      case 'worker': return options.some(({ pool, level }) => workerCapacity(pool, level) >= spec.tasks)
-      case 'rack': return options.some(({ pool, level }) => this.#largestRackCapacity(pool, level) >= spec.tasks)
-      case 'none': return this.#totalCapacity(options) >= spec.tasks
+      case 'worker': return poolLevels.some(({ pool, level }) => workerCapacity(pool, level) >= spec.tasks)
+      case 'rack': return poolLevels.some(({ pool, level }) => this.#largestRackCapacity(pool, level) >= spec.tasks)
+      case 'none': return this.#totalCapacity(poolLevels) >= spec.tasks
     }
   }
 
-  #totalCapacity (options: GangShape['options']): number {
+  #totalCapacity (poolLevels: GangShape['poolLevels']): number {
     let total = 0
-    for (const { pool, level } of options) {
+    for (const { pool, level } of poolLevels) {
       for (const rackIndex of pool.rackIndexes) total += this.#rackCapacity(rackIndex, level)
     }
     return total
--- a/packages/placement/src/start-forecaster.ts
+++ b/packages/placement/src/start-forecaster.ts
@@ -38,10 +38,13 @@
     this.#estimatedEndMs = estimatedEndMs
   }
 
-  /** The earliest start among the compared racks; undefined if the available workers cannot hold the gang. */
+  /**
+   * The earliest start in one pool, among the first `candidateRacks` racks of each pool, or further ones if the gang
+   * fits into none of these. Undefined if no single pool can hold the gang in usable cells of available workers.
+   */
   forecast (shape: GangShape, nowMs: number, isUsable: CellFilter): StartForecast | undefined {
     let best: ExpectedFreeCell[] | undefined
-    for (const { pool, level } of shape.options) {
+    for (const { pool, level } of shape.poolLevels) {
       const found = this.#earliestInPool(shape, pool, level, nowMs, isUsable)
       if (found !== undefined && (best === undefined || startMsOf(found) < startMsOf(best))) best = found
     }
@@ -96,16 +99,16 @@
   #expectedFreeAtMs (cell: number, nowMs: number): number {
     if (this.#fleet.used.isFree(cell)) return nowMs
     let latestMs = nowMs
-    for (const job of this.#fleet.jobsIn(cell)) latestMs = Math.max(latestMs, this.#estimatedEndMs(job))
-    for (const job of this.#fleet.claimantsIn(cell)) latestMs = Math.max(latestMs, this.#estimatedEndMs(job))
+    for (const job of this.#fleet.jobsOverlapping(cell)) latestMs = Math.max(latestMs, this.#estimatedEndMs(job))
+    for (const job of this.#fleet.claimantsOverlapping(cell)) latestMs = Math.max(latestMs, this.#estimatedEndMs(job))
     return latestMs
   }
 
   #blockersOf (cells: readonly number[]): Set<JobRecord> {
     const blockers = new Set<JobRecord>()
     for (const cell of cells) {
-      for (const job of this.#fleet.jobsIn(cell)) blockers.add(job)
-      for (const job of this.#fleet.claimantsIn(cell)) blockers.add(job)
+      for (const job of this.#fleet.jobsOverlapping(cell)) blockers.add(job)
+      for (const job of this.#fleet.claimantsOverlapping(cell)) blockers.add(job)
     }
     return blockers
   }
--- a/packages/placement/src/waiting-jobs.ts
+++ b/packages/placement/src/waiting-jobs.ts
@@ -2,7 +2,7 @@
 import type { JobSpec } from '@comfreygrade/core'
 import type { JobRecord } from './job-record.js'
 
-/** Epoch of {@link WaitingJobs} in which capacity of a model or quota of an organisation was last freed. */
+/** Epoch (number of calls of {@link WaitingJobs.reopen}) in which capacity of a model or quota was last freed. */
 interface LastFreed { epoch: number }
 
 /** Groups of one organisation and priority; the earliest submitted job comes first. */
@@ -23,7 +23,10 @@
   }
 }
 
-/** Jobs that either all fit or all do not fit, as a linked list, so that a job is removed in constant time. */
+/**
+ * Jobs that are expected to either all fit or all not fit, as a linked list, so that a job is removed in constant time.
+ * This is an approximation: their run times differ by up to a factor of two, so a reservation may delay only some.
+ */
 export class WaitingGroup {
   readonly key: string
   readonly queue: WaitingQueue
@@ -171,13 +174,17 @@
   return `${spec.priority}|${spec.organisationId}`
 }
 
-/** Jobs with failed tasks get a group of their own, as they exclude the workers on which these failed. */
+/**
+ * Jobs with the same requirements and a similar run time share a group. Declared run time and job class are in the key
+ * because the estimated run time decides whether a job may be backfilled. A job with failed tasks gets a group of its
+ * own, as it excludes the workers on which these failed.
+ */
 function groupKey (job: JobRecord): string {
   const { spec, shape } = job
   const runTimeBucket = Math.floor(Math.log2(Math.max(1, spec.declaredRunMs)))
-  const failedJobId = job.failedWorkerIds.size > 0 ? job.spec.jobId : ''
+  const ownGroupId = job.failedWorkerIds.size > 0 ? job.spec.jobId : ''
   return `${spec.priority}|${spec.organisationId}|${shape.key}|${spec.preemption === 'none'}|` +
-    `${spec.jobClass}|${runTimeBucket}|${failedJobId}`
+    `${spec.jobClass}|${runTimeBucket}|${ownGroupId}`
 }
 
 /**
--- a/packages/placement/src/worker-health.ts
+++ b/packages/placement/src/worker-health.ts
@@ -1,4 +1,7 @@
-/** Quarantine of workers on which tasks of several jobs fail, with exponential back-off between retries. */
+/**
+ * Quarantine of workers on which tasks of several jobs fail, with exponential back-off between retries. Without it, a
+ * faulty worker that stays free could fail one waiting job after the other.
+ */
 import type { PlacementSettings } from './settings.js'
 
 interface HealthRecord {
@@ -46,6 +49,7 @@
     const record = this.#records.get(workerId)
     if (record === undefined || !record.failedJobIds.delete(jobId)) return false
     if (record.quarantinedUntilMs === undefined) return false
+    // The limit that applied when the quarantine began, as the count includes the current one.
     if (record.failedJobIds.size >= this.#failureLimit(record.quarantineCount - 1)) return false
     record.quarantinedUntilMs = undefined
     record.quarantineCount -= 1
@@ -85,6 +89,7 @@
   }
 
   #quarantine (record: HealthRecord, nowMs: number): void {
+    // The limit of the exponent keeps the product finite.
     const waitMs = this.#settings.quarantineRetryMs * 2 ** Math.min(record.quarantineCount, 30)
     record.quarantinedUntilMs = nowMs + Math.min(waitMs, this.#settings.quarantineRetryMaxMs)
     record.quarantineCount += 1
--- a/packages/placement/test/exhaustive-search.ts
+++ b/packages/placement/test/exhaustive-search.ts
@@ -1,10 +1,14 @@
-/** Reference model of cells and guarantees by exhaustive search; shares no code with the scheduler. */
+/** Configurations for tests, and a reference model of cells and guarantees that shares no code with the scheduler. */
 import type { Configuration, Guarantee, Organisation, Rack, Worker } from '@comfreygrade/core'
 import { defaultRules } from '@comfreygrade/core'
 
 /** Number of workers in a test rack, at positions from 0, and of accelerators in each. */
 export interface TestRack { readonly workers: number, readonly accelerators: number }
 
+/**
+ * A configuration with workers `r0w0`, `r0w1`, … of rack `r0` and so on, and guarantees `g0`, `g1`, … Organisations are
+ * `o1`, which also has the guarantees, and `o2`, unless the overrides say otherwise.
+ */
 export function testConfiguration (
   racks: readonly TestRack[],
   guarantees: ReadonlyArray<Partial<Guarantee>> = [],
--- a/packages/placement/test/guarantees.test.ts
+++ b/packages/placement/test/guarantees.test.ts
@@ -1,3 +1,4 @@
+/** Tests of the cell tree, the free cell index, the guarantee allocator and the reclaim check. */
 import test, { type ExecutionContext } from 'ava'
 import fc from 'fast-check'
 import { CellMarks, FreeCellIndex } from '../src/occupancy.js'
@@ -13,6 +14,7 @@
   cells: fc.integer({ min: 1, max: 2 })
 })
 const anyGuarantees = fc.array(anyGuarantee, { maxLength: 3 })
+/** `pick` selects the worker or cell, `other` the guarantee. */
 const anyStep = fc.record({
   kind: fc.constantFrom('bind', 'release', 'fail', 'repair'),
   pick: fc.nat(1000),
@@ -28,7 +30,8 @@
     `${tree.workers[worker]!.workerId}#${first + offset}`)
 }
 
-test('the cell tree contains every aligned cell exactly once, so that no shape is wrongly refused or accepted', t => {
+// With a missing or extra cell the scheduler would refuse or accept shapes wrongly.
+test('the cell tree contains every aligned cell exactly once', t => {
   fc.assert(fc.property(anyRacks, racks => {
     const tree = buildCellTree(testConfiguration(racks))
     for (let level = 0; level < 5; level++) {
@@ -112,7 +115,7 @@
       fixture.apply(kind, pick, other)
       const expected = fitsByExhaustiveSearch(racks, fixture.takenAccelerators(), fixture.unboundSizes()) &&
         !fixture.hasUnavailableBoundCell()
-      t.is(fixture.allocator.check().isReclaimable, expected)
+      t.is(fixture.allocator.checkReclaimable().isReclaimable, expected)
     }
   }), { seed: 13, numRuns: 200 })
 })
@@ -125,7 +128,7 @@
     const fixture = new AllocatorFixture(racks, guarantees)
     for (const { kind, pick, other } of steps) {
       fixture.apply(kind, pick, other)
-      t.true(fixture.allocator.check().isReclaimable)
+      t.true(fixture.allocator.checkReclaimable().isReclaimable)
     }
   }), { seed: 14, numRuns: 200 })
 })
--- a/packages/placement/test/random-events.test.ts
+++ b/packages/placement/test/random-events.test.ts
@@ -16,6 +16,7 @@
   size: number
 }
 
+/** `lose` and `join` concern a worker, `fail` a task, `leave` all preempted jobs, which vacate their cells. */
 type EventStep =
   | SubmitStep
   | { kind: 'end' | 'cancel' | 'fail' | 'requeue' | 'lose' | 'join' | 'leave' | 'configure', pick: number }
@@ -82,6 +83,7 @@
   endAllExceptLent (): void {
     for (const jobId of this.specs.keys()) if (!this.placed.has(jobId)) this.scheduler.cancel(jobId, this.nowMs)
     for (const [jobId, placement] of [...this.placed]) {
+      // Requeued first: a waiting job is removed when it is cancelled, a placed one is not.
       if (placement.capacityClass === 'guaranteed') this.#vacate(jobId, 'reclaimed')
       if (placement.capacityClass === 'guaranteed') this.scheduler.cancel(jobId, this.nowMs)
     }
@@ -189,6 +191,7 @@
     harness.apply(guaranteeJob('o2', 2, 2, 'none'))
     for (let round = 0; round < 6; round++) harness.vacatePreempted()
     const newlyPlaced = [...harness.placed].filter(([jobId]) => !earlierJobIds.has(jobId))
+    // The whole guarantees: 8 accelerators of o1 and 4 of o2.
     t.is(newlyPlaced.flatMap(([, placement]) => acceleratorNames(placement)).length, 12)
     t.is(harness.preempted.size, 0)
   }), { seed: 21, numRuns: 300 })
--- a/packages/placement/test/scheduler.test.ts
+++ b/packages/placement/test/scheduler.test.ts
@@ -98,7 +98,7 @@
   t.is(new Set(workers).size, 1)
 })
 
-test('jobs of unknown organisations, with impossible shapes or above the quota are refused on submission', t => {
+test('unknown organisations, impossible shapes and jobs above the quota are refused, and a job above the remaining quota waits', t => {
   const scheduler = startScheduler(testConfiguration(rackOfFourWorkers, [], [{ quotaAccelerators: 8 }]))
   t.is(scheduler.submit(job('a', { organisationId: 'nobody' }), 0)?.kind, 'unknown_organisation')
   t.is(scheduler.submit(job('b', { acceleratorModel: 'other' }), 0)?.kind, 'impossible_shape')
@@ -142,7 +142,7 @@
   t.true(scheduler.checkReclaimable().isReclaimable)
 })
 
-test('a claim is released when its worker is lost, and guaranteed cells on lost workers are reported as missing', t => {
+test('a claim does not keep guaranteed cells bound to lost workers, and cells that cannot be provided are reported as missing', t => {
   const scheduler = startScheduler(halfGuaranteed)
   submitAll(scheduler, [1, 2, 3, 4].map(number => job(`lent${number}`, { organisationId: 'o2' })))
   scheduler.pass(0)
@@ -156,7 +156,7 @@
   t.true(scheduler.checkReclaimable().isReclaimable)
 })
 
-test('an urgent job preempts jobs of lower priority in the same pass, those beyond their declared run time first', t => {
+test('an urgent job preempts jobs of lower priority in the same pass, preferably those beyond their declared run time', t => {
   const scheduler = startScheduler(testConfiguration(rackOfFourWorkers))
   const runsMs = [HOUR_MS, 1000, HOUR_MS, HOUR_MS]
   submitAll(scheduler, runsMs.map((declaredRunMs, number) => job(`j${number}`, { declaredRunMs })))
@@ -219,7 +219,7 @@
   t.true(jobIds(scheduler.pass(0), 'place').includes('b'))
 })
 
-test('a worker that fails several jobs is quarantined for increasing periods, so that it cannot fail the whole queue', t => {
+test('a worker that fails several jobs is quarantined for increasing periods', t => {
   const scheduler = startScheduler(
     testConfiguration([{ workers: 1, accelerators: 8 }, { workers: 1, accelerators: 8 }]))
   const fail = (jobId: string, nowMs: number) => {
@@ -255,7 +255,7 @@
   t.is(scheduler.explain('bad1', 9).state, 'refused')
 })
 
-test('a pass that reaches its limit of failed placement attempts leaves the remaining jobs to later passes', t => {
+test('a job that fits is placed in one of the next passes although each pass ends after one failed placement attempt', t => {
   const scheduler = new GangScheduler({ ...defaultPlacementSettings, maxFailedTrials: 1 }, new BuddyCellPolicy())
   scheduler.applyConfiguration(testConfiguration(rackOfFourWorkers))
   for (const workerId of ['r0w0', 'r0w1', 'r0w2', 'r0w3']) scheduler.workerJoined(workerId, 0)
