--- a/packages/node/src/configuration-replica.ts
+++ b/packages/node/src/configuration-copy.ts
@@ -11,7 +11,7 @@
 export type ConfigurationListener = (configuration: Configuration, drains: readonly Drain[]) => void
 
 /** Copy of the configuration in force; version and term never decrease. */
-export class ConfigurationReplica {
+export class ConfigurationCopy {
   readonly #clock: Clock
   readonly #log: EventLog
   readonly #listeners: ConfigurationListener[] = []
--- a/packages/node/src/node.ts
+++ b/packages/node/src/node.ts
@@ -8,7 +8,7 @@
 import { BackendRegistry, LocalityPolicy, RequestRouter, type RoutingSettings } from '@comfreygrade/routing'
 import { Application, type BackendServerAnnouncement, type HeartbeatIntervals, type NodeStatus } from './application.js'
 import { BackendClient } from './backend-client.js'
-import { ConfigurationReplica } from './configuration-replica.js'
+import { ConfigurationCopy } from './configuration-copy.js'
 import { ControlClient } from './control-client.js'
 import type { ControlService } from './control-service.js'
 import { HttpApi } from './http-api.js'
@@ -49,7 +49,7 @@
 /** A node of the system: entry role, and optionally the control role. */
 export class Node extends Application {
   readonly #options: NodeOptions
-  readonly #configuration: ConfigurationReplica
+  readonly #configuration: ConfigurationCopy
   readonly #registry: BackendRegistry
   readonly #router: RequestRouter
   readonly #requests: RequestService
@@ -71,7 +71,7 @@
     const { node, timing, limits } = settings
     this.#options = options
     this.#startedAtMs = clock.monotonicMs()
-    this.#configuration = new ConfigurationReplica(clock, log)
+    this.#configuration = new ConfigurationCopy(clock, log)
     this.#configuration.onChange((configuration, drains) => { this.#onConfigurationChange(configuration, drains) })
     this.#registry = new BackendRegistry(timing.backendExpireAfterMs)
     this.#router = this.#createRouter()
--- a/packages/node/test/backend-client.test.ts
+++ b/packages/node/test/backend-client.test.ts
@@ -2,7 +2,7 @@
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import type { BackendServerRecord } from '@comfreygrade/core'
 import { BackendClient, type AttemptResult } from '../src/backend-client.js'
-import { findFreePort, listen } from './http-fixture.js'
+import { findFreePort, listen } from './fixture.js'
 
 function createRecord (port: number): BackendServerRecord {
   return {
--- a/packages/node/test/configuration-replica.test.ts
+++ b/packages/node/test/configuration-copy.test.ts
@@ -1,6 +1,6 @@
 import test from 'ava'
 import { emptyConfiguration, ManualClock, NullEventLog, toDocument, type ConfigurationChange } from '@comfreygrade/core'
-import { ConfigurationReplica } from '../src/configuration-replica.js'
+import { ConfigurationCopy } from '../src/configuration-copy.js'
 import { NodeLeases } from '../src/node-leases.js'
 import type { PeerMessage } from '../src/peer-messages.js'
 
@@ -30,37 +30,37 @@
 }
 
 test('a delayed feed never reverts a node to an older version', t => {
-  const replica = new ConfigurationReplica(new ManualClock(), new NullEventLog())
-  replica.receive(createFeed(0, [1, 2, 3]))
-  replica.receive(createFeed(0, [1]))
-  replica.receive(createFullFeed(2))
-  t.is(replica.configuration.version, 3)
+  const copy = new ConfigurationCopy(new ManualClock(), new NullEventLog())
+  copy.receive(createFeed(0, [1, 2, 3]))
+  copy.receive(createFeed(0, [1]))
+  copy.receive(createFullFeed(2))
+  t.is(copy.configuration.version, 3)
 })
 
 test('a feed of an older term is ignored, so that a deposed leader does not renew leases', t => {
   const clock = new ManualClock(1000)
-  const replica = new ConfigurationReplica(clock, new NullEventLog())
-  replica.receive(createFeed(0, [1], { term: 2, requestSentAtMs: null }))
-  replica.receive(createFeed(1, [], { term: 1, requestSentAtMs: 1000, leaderNodeId: 'n9' }))
-  t.false(replica.hasLease)
-  t.is(replica.leaderNodeId, 'n1')
+  const copy = new ConfigurationCopy(clock, new NullEventLog())
+  copy.receive(createFeed(0, [1], { term: 2, requestSentAtMs: null }))
+  copy.receive(createFeed(1, [], { term: 1, requestSentAtMs: 1000, leaderNodeId: 'n9' }))
+  t.false(copy.hasLease)
+  t.is(copy.leaderNodeId, 'n1')
 })
 
 test('changes that leave a version gap are not applied and renew no lease', t => {
-  const replica = new ConfigurationReplica(new ManualClock(), new NullEventLog())
-  replica.receive(createFeed(4, [5]))
-  t.is(replica.configuration.version, 0)
-  t.false(replica.hasLease)
+  const copy = new ConfigurationCopy(new ManualClock(), new NullEventLog())
+  copy.receive(createFeed(4, [5]))
+  t.is(copy.configuration.version, 0)
+  t.false(copy.hasLease)
 })
 
 test('a lease starts when the node sent its request, so that a delayed feed does not extend it', t => {
   const clock = new ManualClock(0)
-  const replica = new ConfigurationReplica(clock, new NullEventLog())
+  const copy = new ConfigurationCopy(clock, new NullEventLog())
   clock.advance(4000)
-  replica.receive(createFeed(0, [1], { requestSentAtMs: 0 }))
-  t.true(replica.hasLease)
+  copy.receive(createFeed(0, [1], { requestSentAtMs: 0 }))
+  t.true(copy.hasLease)
   clock.advance(1000)
-  t.false(replica.hasLease)
+  t.false(copy.hasLease)
 })
 
 test('a version is in force everywhere only once every node holds it or its older leases have expired', t => {
--- a/packages/node/test/http-api.test.ts
+++ b/packages/node/test/http-api.test.ts
@@ -5,7 +5,7 @@
 import { defaultRules, fail, succeed } from '@comfreygrade/core'
 import type { ControlOperation, ControlResult, JobView } from '@comfreygrade/control'
 import { request } from 'undici'
-import { EntryApplication, listen, startHttpApi, waitUntil } from './http-fixture.js'
+import { EntryApplication, listen, startHttpApi, waitUntil } from './fixture.js'
 
 interface Answer { status: number, headers: Record<string, unknown>, body: Record<string, unknown> }
 
--- a/packages/node/test/http-errors.test.ts
+++ b/packages/node/test/http-errors.test.ts
@@ -1,7 +1,7 @@
 import { createConnection } from 'node:net'
 import test from 'ava'
 import { request } from 'undici'
-import { EntryApplication, startHttpApi } from './http-fixture.js'
+import { EntryApplication, startHttpApi } from './fixture.js'
 
 const application = new EntryApplication()
 let url = ''
--- a/packages/node/test/peer-links.test.ts
+++ b/packages/node/test/peer-links.test.ts
@@ -4,7 +4,7 @@
 import { PeerLinks } from '../src/peer-links.js'
 import { encodeFrame, type PeerMessage } from '../src/peer-messages.js'
 import { SystemClock } from '../src/system-clock.js'
-import { findFreePort, waitUntil } from './http-fixture.js'
+import { findFreePort, waitUntil } from './fixture.js'
 
 const HOST = '127.0.0.1'
 const request: PeerMessage = { kind: 'feed_request', version: 1, sentAtMs: 2 }
--- a/packages/node/test/short-requests.test.ts
+++ b/packages/node/test/short-requests.test.ts
@@ -1,6 +1,6 @@
 import test from 'ava'
 import { request } from 'undici'
-import { EntryApplication, listen, startHttpApi } from './http-fixture.js'
+import { EntryApplication, listen, startHttpApi } from './fixture.js'
 
 test('concurrent short requests get their own complete answers although the answers arrive out of order', async t => {
   const backend = await listen((req, res) => {
