--- a/packages/node/src/configuration-replica.ts
+++ b/packages/node/src/configuration-copy.ts
@@ -11,7 +11,7 @@
 export type ConfigurationListener = (configuration: Configuration, drains: readonly Drain[]) => void
 
 /** Copy of the configuration in force; version and term never decrease. */
-export class ConfigurationReplica {
+export class ConfigurationCopy {
   readonly #clock: Clock
   readonly #log: EventLog
   readonly #listeners: ConfigurationListener[] = []
@@ -48,7 +48,10 @@
     this.#listeners.push(listener)
   }
 
-  /** Applies a feed of the leader; one of an older term, or content of an older version, has no effect. */
+  /**
+   * Applies a feed of the leader. One of an older term has no effect, and content of an older version has none on the
+   * configuration.
+   */
   receive (feed: Feed): void {
     if (feed.term < this.#term) return
     if (feed.leaderNodeId !== this.#leaderNodeId) {
--- a/packages/node/test/peer-links.test.ts
+++ b/packages/node/test/peer-links.test.ts
@@ -4,7 +4,7 @@
 import { PeerLinks } from '../src/peer-links.js'
 import { encodeFrame, type PeerMessage } from '../src/peer-messages.js'
 import { SystemClock } from '../src/system-clock.js'
-import { findFreePort, waitUntil } from './http-fixture.js'
+import { findFreePort, waitUntil } from './fixture.js'
 
 const HOST = '127.0.0.1'
 const request: PeerMessage = { kind: 'feed_request', version: 1, sentAtMs: 2 }
@@ -37,7 +37,7 @@
     const peer = await startPeer()
     const port = await findFreePort()
     const common = { host: HOST, httpAddress: 'http://127.0.0.1:1', region: 'r', roles: ['entry' as const] }
-    let isHelloTaken = false
+    let hasReceivedHello = false
     const ownHello: PeerMessage = { kind: 'hello', nodeId: 'n1', control: null }
     const links = new PeerLinks<PeerMessage>({
       nodeId: 'n1',
@@ -51,7 +51,7 @@
       metrics: new NullMetrics(),
       log: new NullEventLog(),
       hello: () => ownHello,
-      onMessage: (_nodeId, message) => { isHelloTaken ||= message.kind === 'hello' },
+      onMessage: (_nodeId, message) => { hasReceivedHello ||= message.kind === 'hello' },
       onConnect: () => {},
       onDisconnect: () => {}
     })
@@ -59,7 +59,7 @@
     const socket = connect(port, HOST)
     const hello: PeerMessage = { kind: 'hello', nodeId: 'n2', control: null }
     socket.write(encodeFrame(readsNumberedFields === true ? { ...hello, readsNumberedFields } : hello))
-    await waitUntil(() => isHelloTaken && links.connectedNodeIds().length === 1)
+    await waitUntil(() => hasReceivedHello && links.connectedNodeIds().length === 1)
     t.true(links.send('n2', request))
     const expected = Buffer.concat([
       encodeFrame(ownHello), encodeFrame(request, readsNumberedFields === true ? 'numbered' : 'named')
