--- a/packages/batch-node/src/batch-node.ts
+++ b/packages/batch-node/src/batch-node.ts
@@ -33,7 +33,10 @@
 /** A voter that has been silent for this long is replaced if there is a standby. */
 const VOTER_REPLACE_AFTER_MS = 2_500
 
-/** One process of the batch scheduler. */
+/**
+ * One process of the batch scheduler. A process with a disk is a control node; the control node that leads the voters
+ * is the control leader.
+ */
 export class BatchNode {
   readonly #options: BatchNodeOptions
   readonly #links: PeerLinks<BatchMessage>
@@ -75,18 +78,21 @@
     return await this.#leaderClient.execute(operation, timeoutMs)
   }
 
-  /** Forwards a heartbeat to the leader; resolves to undefined if no leader answered. */
+  /** Forwards a heartbeat to the leader; resolves to undefined if no leader answered it. */
   async forwardHeartbeat (report: WorkerReport, timeoutMs: number): Promise<Extract<LeaderResponse, { kind: 'orders' }> | undefined> {
     const response = await this.#leaderClient.requestOnce({ kind: 'report', report }, timeoutMs)
     return response?.kind === 'orders' ? response : undefined
   }
 
-  /** Tells the leader that a worker has left; resolves to whether a leader answered. */
+  /**
+   * Tells the leader that a worker has left; resolves to whether a leader answered. That includes a leader that lost
+   * its leadership meanwhile and may not have handled the message.
+   */
   async forwardWorkerLeft (workerId: string, timeoutMs: number): Promise<boolean> {
     return await this.#leaderClient.requestOnce({ kind: 'worker_left', workerId }, timeoutMs) !== undefined
   }
 
-  /** Whether this process knows a leader or has a connected peer, so that it can serve requests. */
+  /** Whether this process can forward requests: its own control service knows a leader, or a peer is connected. */
   get isConnected (): boolean {
     return this.#service?.leaderNodeId != null || this.#links.connectedNodeIds().length > 0
   }
@@ -101,7 +107,10 @@
     return this.#service?.replica?.voters ?? []
   }
 
-  /** Dials seeds that were added to the settings while the process runs. */
+  /**
+   * Dials seeds that were added to the settings while the process runs. Unlike the seeds of the options, one that is
+   * not a known control node by the next periodic task is dropped again.
+   */
   addSeeds (seeds: readonly PeerAddress[]): void {
     for (const seed of seeds) this.#links.addPeer(seed)
   }
@@ -135,6 +144,7 @@
       log,
       hello: () => this.#helloMessage(),
       onMessage: (from, message) => { this.#receive(from, message) },
+      // The link itself sends `hello`.
       onConnect: () => {},
       onDisconnect: from => { this.#leaderClient.handleDisconnect(from) }
     })
@@ -157,7 +167,7 @@
     switch (message.kind) {
       case 'hello': this.#receiveHello(message); break
       case 'members': this.#receiveMembers(message); break
-      case 'raft': this.#service?.receiveRaftMessage(message); break
+      case 'raft': this.#service?.receiveConsensusMessage(message); break
       case 'ask': this.#handlePeerRequest(from, message); break
       case 'answer': this.#leaderClient.receiveResponse(message); break
       case 'leaving': this.#membership.markLeaving(from); this.#adjustVoters(); break
@@ -185,10 +195,11 @@
 
   #knownNodes (): ControlNodeInfo[] {
     const own = this.#ownControlInfo()
-    const known = this.#membership.currentNodes(this.voters)
+    const known = this.#membership.forgetSilentNodes(this.voters)
     return own === null ? known : [own, ...known]
   }
 
+  /** Null on a process without a disk. */
   #ownControlInfo (): ControlNodeInfo | null {
     const { disk, nodeId, host, port } = this.#options
     if (disk === undefined) return null
@@ -206,7 +217,7 @@
     this.#removeForgottenPeers()
   }
 
-  /** Stops dialling nodes that the membership has forgotten. Seeds are dialled indefinitely. */
+  /** Stops dialling nodes that the membership does not know. The seeds of the options are dialled indefinitely. */
   #removeForgottenPeers (): void {
     const { seeds } = this.#options
     const known = new Set([...this.#knownNodes(), ...seeds].map(node => node.nodeId))
@@ -232,7 +243,7 @@
     return await this.#service?.handleRequest(request) ?? { kind: 'not_leader', leaderNodeId: null }
   }
 
-  /** Connected nodes to ask for the leader: the presumed leader first, if any, then all others. */
+  /** Nodes to send a request to: the presumed leader first, if any, then all other connected nodes. */
   #leaderCandidates (): string[] {
     const leader = this.#service?.leaderNodeId ?? this.#leaderHint
     const connected = this.#links.connectedNodeIds()
--- a/packages/batch-node/src/batch-service.ts
+++ b/packages/batch-node/src/batch-service.ts
@@ -1,4 +1,6 @@
-/** Control service of a process: hosts a replica of the batch state and runs the batch leader while this node leads. */
+/**
+ * Control service of a process: hosts a replica of the batch state and, on the control leader, a {@link BatchLeader}.
+ */
 import { randomUUID } from 'node:crypto'
 import { Encoder } from 'cbor-x'
 import {
@@ -18,6 +20,7 @@
   readonly recovered: RecoveredLog<BatchCommand>
   readonly settings: BatchSettings
   readonly replicaSettings: ReplicaSettings
+  /** Number of log entries between two snapshots. */
   readonly snapshotAfterEntries: number
   /** Monotonic clock, for the time between heartbeats. */
   readonly clock: Clock
@@ -28,7 +31,9 @@
   readonly log: EventLog
   readonly advice: AdvicePort
   readonly vms: VmPort
+  /** Returns false if the message was not sent. */
   readonly send: (nodeId: string, message: BatchMessage) => boolean
+  /** Called when the log could not be written. */
   readonly storageFailed: (error: unknown) => void
 }
 
@@ -57,7 +62,7 @@
     this.#replicaHost.run(options.recovered)
   }
 
-  /** Never null after construction, since the constructor starts the replica. */
+  /** Never null after construction: {@link ReplicaHost} has none before its start, which the constructor completes. */
   get replica (): Replica<BatchCommand> | null {
     return this.#replicaHost.replica
   }
@@ -71,7 +76,7 @@
   }
 
   /** Passes a consensus message to the replica. */
-  receiveRaftMessage ({ from, to, message }: Extract<BatchMessage, { kind: 'raft' }>): void {
+  receiveConsensusMessage ({ from, to, message }: Extract<BatchMessage, { kind: 'raft' }>): void {
     // A message addressed to a former disk of this node must not reach the replica on the new, empty one.
     if (to.diskId !== this.#options.self.diskId) return
     this.#replicaHost.step({ kind: 'message', from, message })
--- a/packages/batch-node/src/control-disk.ts
+++ b/packages/batch-node/src/control-disk.ts
@@ -16,6 +16,8 @@
 /**
  * Opens the log in a folder. When the system is bootstrapped, the seeds are the initial voters and each writes the same
  * initial log. Any other node with an empty folder starts with an empty log until a leader adds it as a voter.
+ * `isInitialVoter` must be false at later starts: a seed that has lost its disk would return as the same voter with a
+ * fresh initial log.
  *
  * @example
  * const disk = await openControlDisk('/data/control/log', seeds, isBootstrap && isSeed)
--- a/packages/batch-node/src/control-membership.ts
+++ b/packages/batch-node/src/control-membership.ts
@@ -3,18 +3,20 @@
 import type { Clock } from '@comfreygrade/core'
 import type { ControlNodeInfo } from './messages.js'
 
-/** A node outside the voter set that has been silent for this long is forgotten. */
+/** A node outside the voter set that has been silent for this long is forgotten; other nodes may replace it. */
 const FORGET_AFTER_MS = 30_000
 
 interface KnownNode {
   info: ControlNodeInfo
-  lastHeardMs: number
+  /** Time of the last message of the node; until its first one, the time at which a peer reported the node. */
+  lastHeardOrReportedMs: number
 }
 
 /** A change of the voter set. */
 export interface VoterChange {
   readonly remove: VoterId | null
   readonly add: VoterId
+  /** `growth`: the voter set is smaller than the target. */
   readonly reason: 'new_disk' | 'silent' | 'leaving' | 'growth'
 }
 
@@ -46,18 +48,18 @@
   recordAnnouncement (info: ControlNodeInfo): void {
     const known = this.#nodes.get(info.nodeId)
     if (known !== undefined && known.info.startedWallMs !== info.startedWallMs) this.#leavingNodeIds.delete(info.nodeId)
-    this.#nodes.set(info.nodeId, { info, lastHeardMs: this.#nowMs })
+    this.#nodes.set(info.nodeId, { info, lastHeardOrReportedMs: this.#nowMs })
   }
 
-  /** Adds a node that a peer has reported, unless it is known already. */
+  /** Adds a node that a peer has reported, unless it is known already. Until it is silent it is presumed reachable. */
   addIfUnknown (info: ControlNodeInfo): void {
-    if (!this.#nodes.has(info.nodeId)) this.#nodes.set(info.nodeId, { info, lastHeardMs: this.#nowMs })
+    if (!this.#nodes.has(info.nodeId)) this.#nodes.set(info.nodeId, { info, lastHeardOrReportedMs: this.#nowMs })
   }
 
   /** Records that any message of a node was received. */
   recordContact (nodeId: string): void {
     const node = this.#nodes.get(nodeId)
-    if (node !== undefined) node.lastHeardMs = this.#nowMs
+    if (node !== undefined) node.lastHeardOrReportedMs = this.#nowMs
   }
 
   /** Records that a node has announced its shutdown. */
@@ -65,11 +67,11 @@
     this.#leavingNodeIds.add(nodeId)
   }
 
-  /** Forgets nodes outside the voter set that have been silent for too long, and returns the rest. */
-  currentNodes (voters: readonly VoterId[]): ControlNodeInfo[] {
-    for (const [nodeId, { lastHeardMs }] of this.#nodes) {
+  /** Forgets nodes outside the voter set that have been silent for too long, and returns the remaining nodes. */
+  forgetSilentNodes (voters: readonly VoterId[]): ControlNodeInfo[] {
+    for (const [nodeId, { lastHeardOrReportedMs }] of this.#nodes) {
       const isVoter = voters.some(voter => voter.nodeId === nodeId)
-      if (!isVoter && this.#nowMs - lastHeardMs > FORGET_AFTER_MS) this.#nodes.delete(nodeId)
+      if (!isVoter && this.#nowMs - lastHeardOrReportedMs > FORGET_AFTER_MS) this.#nodes.delete(nodeId)
     }
     return [...this.#nodes.values()].map(node => node.info)
   }
@@ -94,6 +96,7 @@
     const standby = this.#standbys(voters)[0]
     if (standby === undefined) return undefined
     for (const voter of voters) {
+      // This node is not among the known nodes, so it would count as silent.
       if (voter.nodeId === self.nodeId) continue
       const isLeaving = this.#leavingNodeIds.has(voter.nodeId)
       if (isLeaving || this.#isSilent(voter)) {
@@ -109,6 +112,7 @@
     return { remove: null, add: standby, reason: 'growth' }
   }
 
+  /** Standbys: known nodes outside the voter set that are neither silent nor leaving. */
   #standbys (voters: readonly VoterId[]): VoterId[] {
     return [...this.#nodes.values()]
       .filter(({ info }) => !voters.some(voter => voter.nodeId === info.nodeId) &&
@@ -118,7 +122,7 @@
 
   #isSilent ({ nodeId }: VoterId): boolean {
     const node = this.#nodes.get(nodeId)
-    return node === undefined || this.#nowMs - node.lastHeardMs >= this.#options.replaceSilentAfterMs
+    return node === undefined || this.#nowMs - node.lastHeardOrReportedMs >= this.#options.replaceSilentAfterMs
   }
 
   get #nowMs (): number {
--- a/packages/batch-node/src/disk-probe.ts
+++ b/packages/batch-node/src/disk-probe.ts
@@ -4,7 +4,7 @@
 import { setTimeout as pause } from 'node:timers/promises'
 import type { EventLog } from '@comfreygrade/core'
 
-/** Exceeds what a control node writes first. */
+/** Exceeds the first writes of a control node, which follow the probe. */
 const PROBE_BYTES = 65_536
 const PROBE_INTERVAL_MS = 500
 const DISK_FULL_CODES: readonly unknown[] = ['ENOSPC', 'EDQUOT']
--- a/packages/batch-node/src/leader-client.ts
+++ b/packages/batch-node/src/leader-client.ts
@@ -28,6 +28,7 @@
   | { readonly kind: 'answered', readonly response: LeaderResponse }
   /** The request has certainly had no effect. */
   | { readonly kind: 'not_executed' }
+  /** No response arrived, so the request may have taken effect. */
   | { readonly kind: 'unknown' }
 
 interface PendingRequest {
@@ -58,7 +59,8 @@
 
   /**
    * Retries until a leader answers or the time limit is reached. All operations are idempotent, so an attempt with an
-   * unknown outcome is retried too; the outcome of the operation is unknown only if no later attempt is answered.
+   * unknown outcome is retried too; the outcome of the operation is unknown only if no later attempt yields a result
+   * with a known outcome.
    */
   async execute (operation: BatchOperation, timeoutMs: number): Promise<BatchResult> {
     const deadlineMs = this.#nowMs + timeoutMs
@@ -99,7 +101,7 @@
   async #attempt (nodeId: string, request: LeaderRequest, remainingMs: number): Promise<AttemptOutcome> {
     const timeoutMs = Math.max(1, Math.min(remainingMs, ATTEMPT_TIMEOUT_MS))
     const outcome = nodeId === this.#options.nodeId
-      ? await withTimeout(this.#options.handleLocally(request), timeoutMs)
+      ? await outcomeWithin(this.#options.handleLocally(request), timeoutMs)
       : await this.#requestFromPeer(nodeId, request, timeoutMs)
     if (outcome.kind !== 'answered' || outcome.response.kind !== 'not_leader') return outcome
     if (outcome.response.leaderNodeId !== null) this.#options.onLeaderHint(outcome.response.leaderNodeId)
@@ -130,7 +132,8 @@
   }
 }
 
-async function withTimeout (response: Promise<LeaderResponse>, timeoutMs: number): Promise<AttemptOutcome> {
+/** Resolves to the outcome `unknown` if there is no response within the time limit. */
+async function outcomeWithin (response: Promise<LeaderResponse>, timeoutMs: number): Promise<AttemptOutcome> {
   return await new Promise<AttemptOutcome>(resolve => {
     const timer = setTimeout(() => { resolve({ kind: 'unknown' }) }, timeoutMs)
     response.then(value => {
--- a/packages/batch-node/src/messages.ts
+++ b/packages/batch-node/src/messages.ts
@@ -5,6 +5,7 @@
 
 /** A control node as it is announced to other processes. */
 export interface ControlNodeInfo extends PeerAddress {
+  /** Node ID and disk ID under which the node is a voter or can become one. */
   readonly voter: VoterId
   /** Unix time of the start of the process; distinguishes a restarted node from one that is still leaving. */
   readonly startedWallMs: number
@@ -13,6 +14,7 @@
 /** A request to the leader. */
 export type LeaderRequest =
   | { readonly kind: 'operation', readonly operation: BatchOperation }
+  /** The heartbeat of a worker. */
   | { readonly kind: 'report', readonly report: WorkerReport }
   | { readonly kind: 'worker_left', readonly workerId: string }
 
@@ -30,10 +32,15 @@
     readonly nodeId: string
     /** Null for a process without a disk. */
     readonly control: ControlNodeInfo | null
+    /**
+     * Whether the sender decodes frames with numbered in place of named fields. Absent from nodes of an older version,
+     * to which named fields are sent.
+     */
     readonly readsNumberedFields?: boolean
   }
   | { readonly kind: 'ping' }
   | { readonly kind: 'pong' }
+  /** Response of a control node to `hello`, with all control nodes that it knows, itself included. */
   | { readonly kind: 'members', readonly nodes: readonly ControlNodeInfo[], readonly leaderNodeId: string | null }
   | {
     readonly kind: 'raft'
--- a/packages/batch-node/src/metrics.ts
+++ b/packages/batch-node/src/metrics.ts
@@ -1,4 +1,4 @@
-/** Counters, gauges and duration histograms, rendered as text. */
+/** Counters, gauges and histograms of durations in milliseconds, rendered as text. */
 import { build, type Histogram } from 'hdr-histogram-js'
 import { Metrics, type MetricTags } from '@comfreygrade/core'
 
@@ -11,7 +11,10 @@
 } as const
 const PERCENTILES = [50, 90, 99, 99.9]
 
-/** Keeps metrics in memory and renders them in the Prometheus text format. */
+/**
+ * Keeps metrics in memory and renders them as samples of the Prometheus text format; each histogram is rendered as its
+ * quantiles and a count.
+ */
 export class TextMetrics extends Metrics {
   readonly #values = new Map<string, number>()
   readonly #histograms = new Map<string, Histogram>()
--- a/packages/batch-node/src/ports.ts
+++ b/packages/batch-node/src/ports.ts
@@ -1,13 +1,16 @@
-/** Ports to the services that the batch leader calls. */
+/** Ports to the services that the control leader calls. */
 import type { MaintenanceAnswer, MaintenanceCall, Ticket } from '@comfreygrade/batch'
 
-/** Port to the advice service, which decides which workers may run a step. */
+/**
+ * Port to the advice service, which decides which workers may run a step. A ticket is its permission for one worker,
+ * which is sent to the worker with the order to start a task of the step.
+ */
 export abstract class AdvicePort {
-  /** Requests tickets for the workers that may run the step; resolves to undefined if the call failed. */
+  /** Requests tickets of a step for the given workers; resolves to undefined if the call failed. */
   abstract requestTickets (stepKey: string, workerIds: readonly string[]): Promise<readonly Ticket[] | undefined>
 }
 
-/** Used in deployments without an advice service: every call fails. */
+/** Used in processes that do not call an advice service: every call fails. */
 export class NullAdvicePort extends AdvicePort {
   override async requestTickets (): Promise<undefined> {
     return undefined
@@ -16,16 +19,18 @@
 
 /** Identity of a caller of the VM interface. Of two callers, the one with the higher fencing token takes precedence. */
 export interface CallerIdentity {
+  /** Node ID of the calling control leader. */
   readonly holder: string
   readonly fencingToken: number
 }
 
 /** Port to the interface that manages the VMs on which workers run. */
 export abstract class VmPort {
+  /** Requests that the maintenance of a VM begins; resolves to whether it has begun, or why not. */
   abstract beginMaintenance (call: MaintenanceCall, caller: CallerIdentity): Promise<MaintenanceAnswer>
 }
 
-/** Used in deployments without a VM interface: every call fails. */
+/** Used in processes that do not call a VM interface: every call fails. */
 export class NullVmPort extends VmPort {
   override async beginMaintenance (): Promise<'failed'> {
     return 'failed'
--- a/packages/batch-node/src/stdout-log.ts
+++ b/packages/batch-node/src/stdout-log.ts
@@ -4,8 +4,11 @@
 type LogFields = Readonly<Record<string, unknown>>
 
 /** Limit for lines with the same message; further ones are dropped and counted. */
-const MAX_LINES_PER_SECOND = 200
-/** Limit for buffered output. Lines beyond it are dropped, so that logging neither blocks nor uses unlimited memory. */
+const MAX_LINES_PER_MESSAGE_PER_SECOND = 200
+/**
+ * Limit for buffered output. Lines beyond it are dropped and counted, so that logging neither blocks nor uses unlimited
+ * memory.
+ */
 const MAX_BACKLOG_BYTES = 1_048_576
 
 interface RateWindow {
@@ -53,7 +56,7 @@
     const window = this.#windows.get(message) ?? { startMs: nowMs, written: 0, dropped: 0 }
     this.#windows.set(message, window)
     if (nowMs - window.startMs >= 1_000) Object.assign(window, { startMs: nowMs, written: 0 })
-    if (window.written >= MAX_LINES_PER_SECOND || this.#stream.writableLength > MAX_BACKLOG_BYTES) {
+    if (window.written >= MAX_LINES_PER_MESSAGE_PER_SECOND || this.#stream.writableLength > MAX_BACKLOG_BYTES) {
       window.dropped++
       return undefined
     }
--- a/packages/batch-node/src/suspend-aware-clock.ts
+++ b/packages/batch-node/src/suspend-aware-clock.ts
@@ -1,13 +1,17 @@
 /** Monotonic clock that includes the time for which the machine was suspended. */
 import type { Clock } from '@comfreygrade/core'
 
-/** Smallest jump of wall time against the monotonic clock that counts as a suspension; slewing stays below it. */
+/**
+ * A shift of wall time against the monotonic clock that exceeds this counts as a suspension. Smaller shifts add up
+ * until they exceed it, so that slewing for long enough counts as well, which only ends leases early.
+ */
 const MIN_SUSPENSION_MS = 150
 
 /**
  * Clock for leases, which must not outlive a suspension of the machine. The monotonic clock of the operating system
- * stops during a suspension, wall time does not, so each forward jump of wall time is added to the monotonic time. A
- * lease may therefore expire early after a correction of wall time, but never late.
+ * stops during a suspension, wall time does not, so each forward shift of wall time above the threshold is added to the
+ * monotonic time. A lease may therefore expire early after a forward correction of wall time. It may expire late by a
+ * suspension below the threshold, or by one that a backward correction of wall time cancels out.
  *
  * @example
  * const clock = new SuspendAwareClock(new SystemClock())
--- a/packages/batch-node/test/batch-node.test.ts
+++ b/packages/batch-node/test/batch-node.test.ts
@@ -61,7 +61,7 @@
   return { cluster, frontend }
 }
 
-test.serial('processes that know only the seeds discover each other, whatever the order of their start', async t => {
+test.serial('a job is accepted and read through a frontend that knows only the seeds', async t => {
   const { cluster, frontend } = await startCluster(t)
   await cluster.executeUntil(frontend, submitJob('j1'))
   t.like(await frontend.execute(jobState('j1'), 1_000), { value: { state: 'queued' } })
@@ -82,23 +82,23 @@
   await cluster.stop('b')
   await cluster.eraseDisk('b')
   await cluster.startControl('b')
-  await cluster.waitForRepair(voter => voter.nodeId === 'b' && voter.diskId !== 'first')
+  await cluster.waitForVoter(voter => voter.nodeId === 'b' && voter.diskId !== 'first')
   await cluster.stop('c')
   t.like(await cluster.executeUntil(frontend, jobState('j1')), { value: { state: 'queued' } })
   await cluster.executeUntil(frontend, submitJob('j2'))
 })
 
-test.serial('a control node at a new address replaces a voter that has stopped', async t => {
+test.serial('a new control node replaces a voter that has stopped', async t => {
   const { cluster, frontend } = await startCluster(t)
   await cluster.executeUntil(frontend, submitJob('j1'))
   await cluster.startControl('d')
   await cluster.stop('a')
-  await cluster.waitForRepair(voter => voter.nodeId === 'd')
+  await cluster.waitForVoter(voter => voter.nodeId === 'd')
   await cluster.stop('b')
   t.like(await cluster.executeUntil(frontend, jobState('j1')), { value: { state: 'queued' } })
 })
 
-test.serial('a minority of the control nodes rejects a job with a failure that says that it has not run', async t => {
+test.serial('a minority of the control nodes eventually rejects a job as certainly not run', async t => {
   const { cluster, frontend } = await startCluster(t)
   await cluster.stop('a')
   await cluster.stop('b')
--- a/packages/batch-node/test/cluster.ts
+++ b/packages/batch-node/test/cluster.ts
@@ -69,7 +69,7 @@
    * Waits until a running node reports the new voter and tolerates the loss of one more control node. The second
    * condition alone is not enough, since a node that was just stopped counts as available until its silence is noticed.
    */
-  async waitForRepair (isNewVoter: (voter: VoterId) => boolean): Promise<void> {
+  async waitForVoter (isNewVoter: (voter: VoterId) => boolean): Promise<void> {
     await this.#waitFor(() => [...this.#nodes.values()].some(node =>
       node.survivableLosses === 1 && node.voters.some(isNewVoter)))
   }
@@ -77,7 +77,7 @@
   async #waitFor (condition: () => boolean): Promise<void> {
     const deadlineMs = performance.now() + 15_000
     while (!condition()) {
-      if (performance.now() > deadlineMs) throw new Error('the voter set was not repaired within 15 s')
+      if (performance.now() > deadlineMs) throw new Error('the new voter was not added within 15 s')
       await pause(20)
     }
   }
--- a/packages/batch-node/test/disk-probe.test.ts
+++ b/packages/batch-node/test/disk-probe.test.ts
@@ -11,13 +11,13 @@
   return { probe, attempts: () => attempts }
 }
 
-test('a process waits while its disk is full instead of exiting, so that it is not restarted repeatedly', async t => {
+test('waitForDiskSpace probes until the disk is no longer full, so that the process does not exit and restart repeatedly', async t => {
   const { probe, attempts } = failingProbe('ENOSPC', 3)
   await waitForDiskSpace('/unused', new NullEventLog(), probe, 1)
   t.is(attempts(), 4)
 })
 
-test('any other disk error aborts the start, since waiting would not resolve it', async t => {
+test('waitForDiskSpace rejects on any other disk error, since waiting would not resolve it', async t => {
   const { probe } = failingProbe('EIO', 1)
   await t.throwsAsync(waitForDiskSpace('/unused', new NullEventLog(), probe, 1), { message: 'EIO' })
 })
--- a/packages/batch-node/test/suspend-aware-clock.test.ts
+++ b/packages/batch-node/test/suspend-aware-clock.test.ts
@@ -33,7 +33,7 @@
   t.is(clock.monotonicMs(), 7_120)
 })
 
-test('the clock never goes back when wall time is set back', t => {
+test('the clock does not go back when wall time is set back, and advances when it is set forward again', t => {
   const machine = new SuspendableClock()
   const clock = new SuspendAwareClock(machine)
   machine.wallNowMs -= 2_000
@@ -44,7 +44,7 @@
   t.is(clock.monotonicMs(), 3_200)
 })
 
-test('slewing of wall time does not count as a suspension', t => {
+test('slewing of wall time by less than the threshold does not count as a suspension', t => {
   const machine = new SuspendableClock()
   const clock = new SuspendAwareClock(machine)
   for (let second = 0; second < 10; second++) {
