--- a/packages/cli/src/api-types.ts
+++ b/packages/cli/src/api-types.ts
@@ -21,10 +21,15 @@
 /** Response of `GET /v1/configuration/status`. */
 export interface ConfigurationStatusResponse {
   readonly version: number
+  /**
+   * Whether no node can serve under an older version: each node has acknowledged this version, or its leases for older
+   * ones have expired. A node that is down therefore does not delay it for longer than a lease.
+   */
   readonly isInForceEverywhere: boolean
   readonly nodes: ReadonlyArray<{
     readonly nodeId: string
     readonly acknowledgedVersion: number
+    /** Whether the node holds a configuration lease, without which it serves no requests. */
     readonly hasLease: boolean
   }>
 }
@@ -35,9 +40,13 @@
   readonly phase: JobPhase
   readonly outcome: JobOutcome | null
   readonly placement: Placement | null
+  /** Starts of the whole gang so far. */
   readonly starts: number
+  /** One sentence about the last change of phase. */
   readonly detail: string
+  /** Time of submission in milliseconds of the replicated log's own clock; not comparable with wall-clock time. */
   readonly submittedLogMs: number
+  /** Time of the last change of the job, on the same clock. */
   readonly changedLogMs: number
 }
 
@@ -47,7 +56,10 @@
   readonly total: number
 }
 
-/** Usage of a capacity guarantee: its cells, those in use, and the accelerators lent to other organisations. */
+/**
+ * Usage of a capacity guarantee. A guarantee consists of cells; a cell is a block of `acceleratorsPerCell` adjacent
+ * accelerators.
+ */
 export interface GuaranteeSummary {
   readonly guaranteeId: string
   readonly organisationId: string
@@ -55,7 +67,9 @@
   readonly acceleratorsPerCell: number
   readonly cells: number
   readonly cellsInUse: number
+  /** Accelerators of the unused cells that jobs of other organisations occupy. */
   readonly lentAccelerators: number
+  /** Cells that the working hardware can no longer hold. */
   readonly missingCells: number
 }
 
@@ -63,9 +77,12 @@
 export interface FleetSummary {
   readonly accelerators: number
   readonly acceleratorsInUse: number
+  /** Accelerators of lost workers. */
   readonly acceleratorsLost: number
+  /** Fraction, 0 to 1, of the free accelerators that the largest waiting job of their model cannot use. */
   readonly fragmentation: number
   readonly waitingJobs: number
+  /** All jobs that have a placement, also those still preparing to start. */
   readonly runningJobs: number
   readonly guarantees: readonly GuaranteeSummary[]
   readonly quarantinedWorkerIds: readonly string[]
@@ -103,6 +120,10 @@
 export interface ClaimResponse {
   readonly organisationId: string
   readonly key: string
+  /**
+   * `pending` while the request may still be executed; `unknown` when it may have been executed but no response was
+   * recorded.
+   */
   readonly state: 'pending' | 'completed' | 'not_run' | 'unknown'
   readonly answer: { readonly status: number, readonly contentType: string, readonly body: string } | null
 }
@@ -121,6 +142,7 @@
     readonly role: string
     readonly term: number
     readonly commitIndex: number
+    /** How many more voters may fail without loss of the majority; null on a replica that is not the leader. */
     readonly survivableLosses: number | null
   } | null
   readonly connectedNodeIds: readonly string[]
@@ -138,6 +160,11 @@
   readonly contentType: string
   readonly body: Buffer
   readonly requestId: string
+  /** Attempts at backend servers. */
   readonly attempts: number
+  /**
+   * `none`, `recorded` when the response was recorded under the idempotency key, or `replayed` when it is such a
+   * record; empty when the response lacks the header.
+   */
   readonly claim: string
 }
--- a/packages/cli/src/client-error.ts
+++ b/packages/cli/src/client-error.ts
@@ -24,7 +24,7 @@
   }
 }
 
-/** Formats a problem as one line of text. */
+/** Describes why a call failed, in one line. */
 export function describeProblem (problem: ClientProblem): string {
   switch (problem.kind) {
     case 'refused': return describeRefusal(problem.body)
--- a/packages/cli/src/command-line.ts
+++ b/packages/cli/src/command-line.ts
@@ -102,16 +102,17 @@
 
   Options
     --node URL         URL of a node; repeatable, the next is tried when one cannot be reached or shuts down (${DEFAULT_NODE_URL})
-    --json             JSON for programs instead of tables; problems go to stderr as JSON too
-    --timeout-ms N     time for one attempt at one node (${DEFAULT_TIMEOUT_MS})
+    --json             JSON for programs instead of tables; errors go to stderr as JSON too, notes as text
+    --timeout-ms N     timeout of one attempt at one node (${DEFAULT_TIMEOUT_MS}); "request" with --deadline-ms waits for the deadline instead
     --organisation ID  of "request"; filter of "jobs"
     --phase P, --limit N                      filters of "jobs"
     --non-repeatable, --key UUID              of "request"; a key is generated when none is given
     --deadline-ms N, --request-class C, --content-type T  of "request"
+    --with-node        of "config check": also checks the file on a node
     --interval-ms N    of "job watch" (1000)
 
   Exit codes
-    0 done, 1 refused, 2 usage or invalid file, 3 conflict, 4 no node could be reached
+    0 done, 1 refused or failed, 2 usage or invalid file, 3 conflict, 4 no node could be reached
 `
 }
 
@@ -133,7 +134,7 @@
 
 function reportUsageError (output: Output, input: readonly string[], problem: string | undefined): ExitReason {
   const usages = commands.map(command => command.usage)
-  const text = problem ?? `found "${input.join(' ')}", allowed one of:\n  ${usages.join('\n  ')}`
+  const text = problem ?? `unknown command "${input.join(' ')}"; expected one of:\n  ${usages.join('\n  ')}`
   output.writeProblem({ usage: text }, text)
   return 'usage'
 }
--- a/packages/cli/src/configuration-commands.ts
+++ b/packages/cli/src/configuration-commands.ts
@@ -88,7 +88,7 @@
 
   protected override render ({ version, isInForceEverywhere, nodes }: ConfigurationStatusResponse): string {
     const rows = nodes.map(node => [node.nodeId, node.acknowledgedVersion, node.hasLease ? 'yes' : 'no'])
-    const scope = isInForceEverywhere ? 'everywhere' : 'not everywhere yet'
+    const scope = isInForceEverywhere ? 'on every serving node' : 'not yet on every serving node'
     return `version ${version}, in force ${scope}\n${renderTable(['node', 'acknowledged', 'lease'], rows)}`
   }
 }
@@ -127,7 +127,10 @@
   if (!isEmptyChange(change)) await client.applyChange(change, true)
 }
 
-/** Another operator's change is in force, so the error includes its version and how the file differs from it. */
+/**
+ * Reports a conflict: another operator's change is in force, so the error includes its version and how the file differs
+ * from it. Rethrows every other error.
+ */
 async function reportConflict (
   { client, output }: CommandContext, document: ConfigurationDocument, error: unknown
 ): Promise<ExitReason> {
--- a/packages/cli/src/configuration-file.ts
+++ b/packages/cli/src/configuration-file.ts
@@ -32,7 +32,7 @@
   for (const [index, value] of values.entries()) {
     const firstIndex = firstIndexByValue.get(value)
     if (firstIndex === undefined) firstIndexByValue.set(value, index)
-    else problems.push({ path: [list, index, field], found: `${value} again`, allowed: `one; ${list}[${firstIndex}] has it` })
+    else problems.push({ path: [list, index, field], found: `duplicate ${value}`, allowed: `a value other than that of ${list}[${firstIndex}]` })
   }
   return problems
 }
@@ -41,14 +41,14 @@
   const known = new Set(racks.map(rack => rack.rackId))
   return workers.flatMap(({ rackId }, index) => known.has(rackId)
     ? []
-    : [{ path: ['workers', index, 'rackId'], found: `"${rackId}"`, allowed: 'a rackId of racks' }])
+    : [{ path: ['workers', index, 'rackId'], found: `"${rackId}"`, allowed: 'the rackId of an entry in racks' }])
 }
 
 function findUnknownOrganisationReferences ({ organisations, guarantees }: ConfigurationDocument): FieldProblem[] {
   const known = new Set(organisations.map(organisation => organisation.organisationId))
   return guarantees.flatMap(({ organisationId }, index) => known.has(organisationId)
     ? []
-    : [{ path: ['guarantees', index, 'organisationId'], found: `"${organisationId}"`, allowed: 'an organisationId of organisations' }])
+    : [{ path: ['guarantees', index, 'organisationId'], found: `"${organisationId}"`, allowed: 'the organisationId of an entry in organisations' }])
 }
 
 /** Runs the checks that a node makes on a change, so that a valid file has no reference that a node finds broken. */
--- a/packages/cli/src/exit.ts
+++ b/packages/cli/src/exit.ts
@@ -2,7 +2,10 @@
 import type { ErrorKind } from '@comfreygrade/core'
 import type { ClientProblem } from './client-error.js'
 
-/** Why the process exits. */
+/**
+ * Why the process exits. `refused` also stands for other failures: an unexpected response, an error status of a backend
+ * server and a watched job that did not complete.
+ */
 export type ExitReason = 'done' | 'refused' | 'usage' | 'conflict' | 'unreachable'
 
 export const exitCodes: Readonly<Record<ExitReason, number>> = {
--- a/packages/cli/src/fleet-commands.ts
+++ b/packages/cli/src/fleet-commands.ts
@@ -75,14 +75,14 @@
     const [kind = '', id = ''] = context.args
     const drainKind = drainKinds.find(candidate => candidate === kind)
     if (drainKind === undefined) {
-      context.output.writeProblem({ found: kind, allowed: drainKinds }, `KIND ${kind}: allowed ${drainKinds.join(', ')}`)
+      context.output.writeProblem({ found: kind, allowed: drainKinds }, `unknown KIND "${kind}"; expected one of: ${drainKinds.join(', ')}`)
       return 'usage'
     }
-    await this.setDrain(context, drainKind, id)
+    await this.applyTo(context, drainKind, id)
     return 'done'
   }
 
-  protected abstract setDrain (context: CommandContext, kind: DrainKind, id: string): Promise<void>
+  protected abstract applyTo (context: CommandContext, kind: DrainKind, id: string): Promise<void>
 }
 
 /** `drain KIND ID`. */
@@ -90,7 +90,7 @@
   override readonly words = ['drain']
   override readonly summary = `give a VM, worker or backend server no new work; KIND is ${drainKinds.join(', ')}`
 
-  protected override async setDrain ({ client, output }: CommandContext, kind: DrainKind, id: string): Promise<void> {
+  protected override async applyTo ({ client, output }: CommandContext, kind: DrainKind, id: string): Promise<void> {
     await client.drain({ kind, id })
     output.writeResult({ kind, id, isDraining: true }, () => `${kind} ${id} gets no new work`)
   }
@@ -101,7 +101,7 @@
   override readonly words = ['undrain']
   override readonly summary = 'end a drain'
 
-  protected override async setDrain ({ client, output }: CommandContext, kind: DrainKind, id: string): Promise<void> {
+  protected override async applyTo ({ client, output }: CommandContext, kind: DrainKind, id: string): Promise<void> {
     await client.undrain({ kind, id })
     output.writeResult({ kind, id, isDraining: false }, () => `${kind} ${id} gets work again`)
   }
@@ -115,7 +115,7 @@
   return renderSections([
     ['Totals', renderFields(totals)],
     ['Workers', renderTable(['worker', 'state', 'tasks', 'address'], workerRows)],
-    ['Backend servers', renderTable(['backend server', 'state', 'zone', 'services', 'slots', 'address'], serverRows)],
+    ['Backend servers', renderTable(['backend server', 'state', 'availability zone', 'services', 'slots', 'address'], serverRows)],
     ['Drains', renderTable(['kind', 'id'], drains.map(({ kind, id }) => [kind, id]))]
   ])
 }
--- a/packages/cli/src/job-file.ts
+++ b/packages/cli/src/job-file.ts
@@ -25,8 +25,8 @@
 const MAX_JOB_CLASS_PREFIX_CHARACTERS = 50
 
 /**
- * Parses and validates a job. Generates a job ID when the file has none, so that a retried submission does not create
- * a second job.
+ * Parses and validates a job. Generates a job ID when the file has none, so that a retry by the client does not create
+ * a second job. Parsing the same file again gives another ID.
  *
  * @example
  * parseJobFile('job.yaml', text)
--- a/packages/cli/src/node-client.ts
+++ b/packages/cli/src/node-client.ts
@@ -29,8 +29,8 @@
 }
 
 /**
- * Margin of the client's timeout over the deadline. A node responds by the deadline at the latest; a client that timed
- * out earlier would repeat a request that is still being executed.
+ * Margin of the client's timeout over the deadline that a request sets. A node responds by the deadline at the latest;
+ * a client that timed out earlier would repeat a request that is still being executed.
  */
 const DEADLINE_MARGIN_MS = 1_000
 
@@ -39,14 +39,14 @@
   readonly #transport: NodeTransport
 
   /**
-   * @param nodes base URLs, tried in this order
+   * @param nodeUrls base URLs of nodes, tried in this order
    * @param timeoutMs timeout of one attempt at one node
    * @example
    * const client = new NodeClient(['http://127.0.0.1:8080'], 5_000)
    * const { version } = await client.configuration()
    */
-  constructor (nodes: readonly string[], timeoutMs: number) {
-    this.#transport = new NodeTransport(nodes, timeoutMs)
+  constructor (nodeUrls: readonly string[], timeoutMs: number) {
+    this.#transport = new NodeTransport(nodeUrls, timeoutMs)
   }
 
   /** Returns the configuration in force. */
--- a/packages/cli/src/node-transport.ts
+++ b/packages/cli/src/node-transport.ts
@@ -36,25 +36,25 @@
  * await transport.send({ method: 'GET', path: '/v1/status', isIdempotent: true })
  */
 export class NodeTransport {
-  readonly #nodes: readonly string[]
+  readonly #nodeUrls: readonly string[]
   readonly #timeoutMs: number
   readonly #agent: Agent
 
-  constructor (nodes: readonly string[], timeoutMs: number) {
-    this.#nodes = nodes.map(node => node.replace(/\/+$/, ''))
+  constructor (nodeUrls: readonly string[], timeoutMs: number) {
+    this.#nodeUrls = nodeUrls.map(url => url.replace(/\/+$/, ''))
     this.#timeoutMs = timeoutMs
     this.#agent = new Agent({ connect: { timeout: timeoutMs } })
   }
 
   /**
-   * Returns the first complete response that does not advise an immediate retry; throws a {@link ClientError} when no
-   * node responds.
+   * Returns the first complete response that does not advise an immediate retry; failing that, the last refusal, unless
+   * an attempt at another node may have been executed. Otherwise throws a {@link ClientError}.
    */
   async send (call: NodeCall): Promise<NodeResponse> {
     let failure: ClientProblem & { kind: 'unreachable' } | undefined
     let refusal: NodeResponse | undefined
-    for (const node of this.#nodesToTry(call)) {
-      const attempt = await this.#attempt(node, call)
+    for (const nodeUrl of this.#urlsToTry(call)) {
+      const attempt = await this.#attempt(nodeUrl, call)
       if (attempt.kind === 'failed') failure = mergeFailures(failure, attempt.problem)
       else if (advisesImmediateRetry(attempt.response)) refusal = attempt.response
       else return attempt.response
@@ -70,18 +70,18 @@
   }
 
   /** A single node is tried twice, because a lost response is as likely as a lost node. */
-  #nodesToTry ({ isIdempotent }: NodeCall): readonly string[] {
-    if (!isIdempotent) return this.#nodes.slice(0, 1)
-    return this.#nodes.length === 1 ? [...this.#nodes, ...this.#nodes] : this.#nodes
+  #urlsToTry ({ isIdempotent }: NodeCall): readonly string[] {
+    if (!isIdempotent) return this.#nodeUrls.slice(0, 1)
+    return this.#nodeUrls.length === 1 ? [...this.#nodeUrls, ...this.#nodeUrls] : this.#nodeUrls
   }
 
-  async #attempt (node: string, { method, path, headers, body, timeoutMs }: NodeCall): Promise<AttemptResult> {
+  async #attempt (nodeUrl: string, { method, path, headers, body, timeoutMs }: NodeCall): Promise<AttemptResult> {
     try {
       const signal = AbortSignal.timeout(timeoutMs ?? this.#timeoutMs)
-      const response = await request(node + path, { method, headers, body, signal, dispatcher: this.#agent })
+      const response = await request(nodeUrl + path, { method, headers, body, signal, dispatcher: this.#agent })
       return { kind: 'answered', response: await readResponse(response) }
     } catch (error) {
-      return { kind: 'failed', problem: toUnreachable(node, error) }
+      return { kind: 'failed', problem: toUnreachable(nodeUrl, error) }
     }
   }
 }
@@ -105,10 +105,10 @@
   return { status: response.statusCode, headers: Object.fromEntries(headers), body }
 }
 
-function toUnreachable (node: string, error: unknown): ClientProblem & { kind: 'unreachable' } {
+function toUnreachable (nodeUrl: string, error: unknown): ClientProblem & { kind: 'unreachable' } {
   const { code, message } = error as { code?: unknown, message?: string }
   const progress = NOT_SENT_ERROR_CODES.has(String(code)) ? 'not_sent' : 'maybe_sent'
-  return { kind: 'unreachable', progress, detail: `${node}: ${message ?? String(error)}` }
+  return { kind: 'unreachable', progress, detail: `${nodeUrl}: ${message ?? String(error)}` }
 }
 
 function mergeFailures (
--- a/packages/cli/src/request-commands.ts
+++ b/packages/cli/src/request-commands.ts
@@ -15,7 +15,7 @@
   override async run (context: CommandContext): Promise<ExitReason> {
     const { client, output, streams, options, args } = context
     if (options.organisation === undefined) {
-      output.writeProblem({ option: 'organisation' }, '--organisation: found nothing, allowed an organisation ID')
+      output.writeProblem({ option: 'organisation' }, '--organisation is required')
       return 'usage'
     }
     const request = buildRequest(context, args[0] ?? '', options.organisation, await streams.readStdin())
@@ -44,7 +44,10 @@
   }
 }
 
-/** Generates a key for a non-repeatable request without one, so that it can be retried and its outcome queried. */
+/**
+ * Builds the request from the options. Generates a key for a non-repeatable request without one, so that it can be
+ * retried and its outcome queried.
+ */
 function buildRequest (
   { options }: CommandContext, service: string, organisationId: string, body: Buffer
 ): ShortRequest {
--- a/packages/cli/test/api-page.test.ts
+++ b/packages/cli/test/api-page.test.ts
@@ -13,7 +13,7 @@
   return Object.fromEntries(cells.map(([kind = '', ...rest]) => [kind, rest]))
 }
 
-test('the API page lists exactly the error kinds of the code, with their status, outcome and retry advice', async t => {
+test('the API page lists exactly the error kinds of the code, with their status, outcome and retry advice, so that clients can be written from it', async t => {
   const documented = Object.entries(await readDocumentedErrorKinds()).map(([kind, cells]) => [kind, cells.slice(0, 4)])
   const actual = Object.entries(errorTable).map(([kind, { httpStatus, outcome, repeat, retryAfterMs }]) => (
     [kind, [String(httpStatus), outcome, repeat, String(retryAfterMs)]]))
--- a/packages/cli/test/command-line.test.ts
+++ b/packages/cli/test/command-line.test.ts
@@ -6,7 +6,7 @@
   type ConfigurationChange, type ConfigurationDocument, emptyConfiguration, toDocument
 } from '@comfreygrade/core'
 import { exitCodes } from '../src/index.js'
-import { errorReply, FakeNode, type RecordedCall, runCommand } from './fake-node.js'
+import { errorResponse, FakeNode, type RecordedCall, runCommand } from './fake-node.js'
 
 const CHANGES_ROUTE = 'POST /v1/configuration/changes'
 
@@ -30,9 +30,9 @@
   const node = await new FakeNode().start()
   let acceptedChange = ''
   node.respondWith('GET /v1/configuration', { version, document })
-  node.replyHandlers.set(CHANGES_ROUTE, (call: RecordedCall) => {
+  node.responseHandlers.set(CHANGES_ROUTE, (call: RecordedCall) => {
     const change = JSON.parse(call.text) as ConfigurationChange
-    if (acceptedChange !== '' && acceptedChange !== call.text) return errorReply({ kind: 'version_conflict', detail: 'version 1' })
+    if (acceptedChange !== '' && acceptedChange !== call.text) return errorResponse({ kind: 'version_conflict', detail: 'version 1' })
     acceptedChange = call.text
     return { status: 200, body: { version: change.version, isDryRun: false } }
   })
@@ -42,9 +42,10 @@
 test('apply retries the same change after a lost response, so that no second version is created', async t => {
   const node = await startNodeWithConfiguration()
   const file = await writeTempFile(t, desiredDocument)
-  const accept = node.replyHandlers.get(CHANGES_ROUTE) ?? (() => errorReply({ kind: 'not_found', detail: '' }))
+  const accept = node.responseHandlers.get(CHANGES_ROUTE) ?? (() => errorResponse({ kind: 'not_found', detail: '' }))
+  // Only the first call loses its response; the fake node drops none for values below 1.
   let remainingDrops = 1
-  node.replyHandlers.set(CHANGES_ROUTE, call => {
+  node.responseHandlers.set(CHANGES_ROUTE, call => {
     node.responsesToDrop = remainingDrops--
     return accept(call)
   })
@@ -67,9 +68,9 @@
 
 test('a version conflict shows how the file differs from the version in force, so that no concurrent change is undone unseen', async t => {
   const node = await startNodeWithConfiguration()
-  node.replyHandlers.set(CHANGES_ROUTE, () => {
+  node.responseHandlers.set(CHANGES_ROUTE, () => {
     node.respondWith('GET /v1/configuration', { version: 1, document: { ...desiredDocument, organisations: [] } })
-    return errorReply({ kind: 'version_conflict', detail: 'version 1 has other content' })
+    return errorResponse({ kind: 'version_conflict', detail: 'version 1 has other content' })
   })
   const { reason, stderr } = await runCommand([node.address], ['config', 'apply', await writeTempFile(t, desiredDocument)])
   t.is(exitCodes[reason], 3)
@@ -90,7 +91,7 @@
 
 test('diff checks with a dry run whether the change would be accepted, and does not apply it', async t => {
   const node = await startNodeWithConfiguration()
-  node.replyHandlers.set(`${CHANGES_ROUTE}?dryRun=true`, () => errorReply({ kind: 'guarantee_unsatisfiable', detail: '1 cell' }))
+  node.responseHandlers.set(`${CHANGES_ROUTE}?dryRun=true`, () => errorResponse({ kind: 'guarantee_unsatisfiable', detail: '1 cell' }))
   const { reason, stdout, stderr } = await runCommand([node.address], ['config', 'diff', await writeTempFile(t, desiredDocument)])
   t.is(exitCodes[reason], 1)
   t.regex(stdout, /quotaAccelerators=8/)
@@ -113,7 +114,7 @@
 
 test('a job from stdin is submitted again with the same ID when the response is lost', async t => {
   const node = await new FakeNode().start()
-  node.replyHandlers.set('POST /v1/jobs', call => {
+  node.responseHandlers.set('POST /v1/jobs', call => {
     const spec = JSON.parse(call.text)
     return { status: 201, body: { spec, phase: 'waiting' } }
   })
@@ -130,7 +131,7 @@
 test('watch prints each phase once and gives exit code 1 for a job that did not complete', async t => {
   const node = await new FakeNode().start()
   const phases = ['waiting', 'waiting', 'running', 'ended']
-  node.replyHandlers.set('GET /v1/jobs/j1', () => {
+  node.responseHandlers.set('GET /v1/jobs/j1', () => {
     const phase = phases.shift()
     return { status: 200, body: { phase, outcome: phase === 'ended' ? 'failed' : null, detail: 'x' } }
   })
@@ -142,7 +143,7 @@
 
 test('a request passes the body unchanged and prints the idempotency key first, so that its outcome can be queried', async t => {
   const node = await new FakeNode().start()
-  node.replyHandlers.set('POST /v1/services/charge/requests', call => ({ status: 200, body: `<${call.text}>` }))
+  node.responseHandlers.set('POST /v1/services/charge/requests', call => ({ status: 200, body: `<${call.text}>` }))
   const argv = ['request', 'charge', '--organisation', 'o1', '--non-repeatable']
   const { reason, stdout, stderr } = await runCommand([node.address], argv, 'page 1')
   t.is(reason, 'done')
@@ -152,7 +153,7 @@
   node.stop()
 })
 
-test('fleet and guarantees show the fields of the response as tables and as JSON', async t => {
+test('fleet and guarantees show the fields of the response as tables, and fleet its report as JSON, so that a missing field is noticed', async t => {
   const guarantee = {
     guaranteeId: 'g1', organisationId: 'o1', acceleratorModel: 'gpu', acceleratorsPerCell: 4, cells: 2, cellsInUse: 1, lentAccelerators: 4, missingCells: 0
   }
--- a/packages/cli/test/fake-node.ts
+++ b/packages/cli/test/fake-node.ts
@@ -7,16 +7,16 @@
 
 export interface RecordedCall { route: string, headers: IncomingMessage['headers'], text: string }
 
-export interface Reply { status: number, body: unknown, headers?: Record<string, string> }
+export interface FakeResponse { status: number, body: unknown, headers?: Record<string, string> }
 
-export function errorReply (failure: Failure): Reply {
+export function errorResponse (failure: Failure): FakeResponse {
   return { status: errorTable[failure.kind].httpStatus, body: errorBody(failure) }
 }
 
 export class FakeNode {
   readonly calls: RecordedCall[] = []
-  /** Reply functions by `METHOD path`; other calls are refused with `not_found`. */
-  readonly replyHandlers = new Map<string, (call: RecordedCall) => Reply>()
+  /** Functions that give the response, by `METHOD path`; other calls are refused with `not_found`. */
+  readonly responseHandlers = new Map<string, (call: RecordedCall) => FakeResponse>()
   /** Number of next calls that are executed but whose connection is closed before the response. */
   responsesToDrop = 0
   readonly #server = createServer((request, response) => { this.#handle(request, response).catch(() => {}) })
@@ -37,7 +37,7 @@
   }
 
   respondWith (route: string, body: unknown, status = 200, headers?: Record<string, string>): this {
-    this.replyHandlers.set(route, () => ({ status, body, headers }))
+    this.responseHandlers.set(route, () => ({ status, body, headers }))
     return this
   }
 
@@ -50,13 +50,13 @@
     for await (const chunk of request) text += String(chunk)
     const call = { route: `${request.method} ${request.url}`, headers: request.headers, text }
     this.calls.push(call)
-    const reply = this.replyHandlers.get(call.route)?.(call) ?? errorReply({ kind: 'not_found', detail: call.route })
+    const fakeResponse = this.responseHandlers.get(call.route)?.(call) ?? errorResponse({ kind: 'not_found', detail: call.route })
     if (this.responsesToDrop-- > 0) {
       request.socket.destroy()
       return
     }
-    response.writeHead(reply.status, { 'content-type': 'application/json', ...reply.headers })
-    response.end(typeof reply.body === 'string' ? reply.body : JSON.stringify(reply.body))
+    response.writeHead(fakeResponse.status, { 'content-type': 'application/json', ...fakeResponse.headers })
+    response.end(typeof fakeResponse.body === 'string' ? fakeResponse.body : JSON.stringify(fakeResponse.body))
   }
 }
 
--- a/packages/cli/test/files.test.ts
+++ b/packages/cli/test/files.test.ts
@@ -48,10 +48,10 @@
 ${rules}
 `
   t.deepEqual(formatProblems(text), [
-    'f.yaml:5: workers[1].workerId: found w1 again, allowed one; workers[0] has it',
-    'f.yaml:5: workers[1].rackId: found "r9", allowed a rackId of racks',
-    'f.yaml:6: workers[2].rackPosition: found 0 of rack r1 again, allowed one; workers[0] has it',
-    'f.yaml:9: guarantees[0].organisationId: found "o", allowed an organisationId of organisations'
+    'f.yaml:5: workers[1].workerId: found duplicate w1, allowed a value other than that of workers[0]',
+    'f.yaml:5: workers[1].rackId: found "r9", allowed the rackId of an entry in racks',
+    'f.yaml:6: workers[2].rackPosition: found duplicate 0 of rack r1, allowed a value other than that of workers[0]',
+    'f.yaml:9: guarantees[0].organisationId: found "o", allowed the organisationId of an entry in organisations'
   ])
 })
 
@@ -60,7 +60,7 @@
   t.regex(problem ?? '', /^f\.yaml:\d: found .*allowed valid YAML/)
 })
 
-test('a job without an ID gets a generated one, so that a retried submission does not create a second job', t => {
+test('a job without an ID gets a generated one, so that a retry by the client does not create a second job', t => {
   const text = `{ organisationId: o, jobClass: nightly, tasks: 2, acceleratorModel: gpu, acceleratorsPerTask: 8, coresPerTask: 1,
     memoryGbPerTask: 1, adjacency: rack, declaredRunMs: 1000, priority: normal, preemption: repeat }`
   const result = parseJobFile('job.yaml', text)
--- a/packages/cli/test/node-client.test.ts
+++ b/packages/cli/test/node-client.test.ts
@@ -5,14 +5,17 @@
   ClaimResponse, ConfigurationStatusResponse, FleetSummary, JobAnswer, WorkerSummary
 } from '../src/index.js'
 import { ClientError, NodeClient, type ShortRequest, uuidV7 } from '../src/index.js'
-import { errorReply, FakeNode } from './fake-node.js'
+import { errorResponse, FakeNode } from './fake-node.js'
 
-/** Fails the type check when a field that the client reads is missing or different in the node's type. */
-type AssertReadable<Client, Node extends Client> = Node
+/**
+ * Fails the type check when a field that the client reads is missing or different in the node's type. The node status,
+ * the configuration and short requests are not covered.
+ */
+type AssertAssignable<Client, Node extends Client> = Node
 export type CheckedTypes = [
-  AssertReadable<JobAnswer, JobView>, AssertReadable<ConfigurationStatusResponse, ConfigurationStatus>,
-  AssertReadable<WorkerSummary, WorkerView>, AssertReadable<FleetSummary, FleetReport>,
-  AssertReadable<Omit<ClaimResponse, 'answer'>, ClaimView>
+  AssertAssignable<JobAnswer, JobView>, AssertAssignable<ConfigurationStatusResponse, ConfigurationStatus>,
+  AssertAssignable<WorkerSummary, WorkerView>, AssertAssignable<FleetSummary, FleetReport>,
+  AssertAssignable<Omit<ClaimResponse, 'answer'>, ClaimView>
 ]
 
 const UNREACHABLE_NODE_URL = 'http://127.0.0.1:9'
@@ -48,11 +51,11 @@
   })
 })
 
-test('an idempotent call fails over when a node is shutting down, so that a rolling restart fails no command', async t => {
+test('when a node is shutting down, an idempotent call fails over and a non-repeatable one does not, so that a rolling restart fails no command and repeats no request', async t => {
   await withFakeNode(async stoppingNode => {
-    const reply = errorReply({ kind: 'shutting_down', detail: 'this node is shutting down' })
-    stoppingNode.replyHandlers.set('POST /v1/drains', () => reply)
-    stoppingNode.replyHandlers.set('POST /v1/services/charge/requests', () => reply)
+    const shuttingDown = errorResponse({ kind: 'shutting_down', detail: 'this node is shutting down' })
+    stoppingNode.responseHandlers.set('POST /v1/drains', () => shuttingDown)
+    stoppingNode.responseHandlers.set('POST /v1/services/charge/requests', () => shuttingDown)
     await withFakeNode(async node => {
       node.respondWith('POST /v1/drains', {}).respondWith('POST /v1/services/charge/requests', 'done')
       const client = new NodeClient([stoppingNode.address, node.address], 2_000)
@@ -69,7 +72,7 @@
   await withFakeNode(async droppingNode => {
     droppingNode.responsesToDrop = 1
     await withFakeNode(async stoppingNode => {
-      stoppingNode.replyHandlers.set('POST /v1/drains', () => errorReply({ kind: 'shutting_down', detail: 'stops' }))
+      stoppingNode.responseHandlers.set('POST /v1/drains', () => errorResponse({ kind: 'shutting_down', detail: 'stops' }))
       const client = new NodeClient([droppingNode.address, stoppingNode.address], 2_000)
       t.like(await captureProblem(client.drain({ kind: 'vm', id: 'n1' })), { kind: 'unreachable', progress: 'maybe_sent' })
     })
@@ -105,7 +108,7 @@
     node.respondWith('POST /v1/services/charge/requests', { error: 'no toner' }, 422, responseHeaders)
     const response = await new NodeClient([node.address], 2_000).sendRequest(chargeRequest)
     t.is(response.status, 422)
-    node.replyHandlers.set('POST /v1/services/charge/requests', () => errorReply({ kind: 'queue_full', detail: 'full' }))
+    node.responseHandlers.set('POST /v1/services/charge/requests', () => errorResponse({ kind: 'queue_full', detail: 'full' }))
     const problem = await captureProblem(new NodeClient([node.address], 2_000).sendRequest(chargeRequest))
     t.is(problem.kind === 'refused' ? problem.body.error : '', 'queue_full')
   })
--- a/packages/documents/src/yaml-file.ts
+++ b/packages/documents/src/yaml-file.ts
@@ -1,8 +1,8 @@
-/** Validates a YAML or JSON file against a schema and reports all errors at once, each with its line. */
+/** Validates a YAML or JSON file against a schema and reports all problems at once, each with its line. */
 import { isMap, isNode, isScalar, LineCounter, parseDocument, type Document } from 'yaml'
 import { z } from 'zod'
 
-/** One error in a file. */
+/** One problem in a file. */
 export interface FileProblem {
   readonly file: string
   readonly line: number
@@ -15,14 +15,14 @@
 /** Path of a value in a document: field names and array indexes. */
 export type FieldPath = ReadonlyArray<string | number>
 
-/** An error in one field, without its position in the file. */
+/** A problem with one field, without its position in the file. */
 export interface FieldProblem {
   readonly path: FieldPath
   readonly found: string
   readonly allowed: string
 }
 
-/** The validated value, or all errors in the file. */
+/** Result of the validation of a file: the value, or all problems in the file. */
 export type FileReading<T> =
   | { readonly kind: 'valid', readonly value: T }
   | { readonly kind: 'invalid', readonly problems: readonly FileProblem[] }
@@ -34,7 +34,8 @@
 const MAX_FOUND_VALUE_CHARACTERS = 80
 
 /**
- * Parses a text and validates it against a schema, then with `check`, which is called only when the schema matches.
+ * Parses the text of a file and validates it against a schema, then with `check`, which is called only when the schema
+ * matches. `file` is the name that problems report.
  *
  * @example
  * readYaml('jobs.yaml', text, jobSchema, () => [])
--- a/scripts/bundle.mjs
+++ b/scripts/bundle.mjs
@@ -1,4 +1,7 @@
-/** Bundles `platform/src/main.ts` into one file, which starts faster and uses less memory than separate modules. */
+/**
+ * Bundles the process that runs on the users' platform (`platform/src/main.ts`) into one file, which starts faster and
+ * uses less memory than separate modules.
+ */
 import { pathToFileURL } from 'node:url'
 import { build } from 'esbuild'
 
--- a/scripts/run-tests.ts
+++ b/scripts/run-tests.ts
@@ -2,7 +2,8 @@
  * Runs the test suite and sets the exit code for continuous integration.
  *
  * A failing test fails the run unless `KNOWN-RED.txt` lists its title; listed failures are printed.
- * A listed test that passes fails the run too, so that stale entries are removed.
+ * A listed test that passes fails the run too, so that its entry is removed. An entry for a test that no longer exists
+ * is not detected. A run in which no test passes fails too.
  */
 import { spawn } from 'node:child_process'
 import { readFileSync } from 'node:fs'
@@ -35,7 +36,7 @@
   const unexpected = failed.filter(assertion => !knownFailures.has(assertion.name))
   const stale = passed.filter(name => knownFailures.has(name))
   for (const assertion of failed) {
-    console.log(`${knownFailures.has(assertion.name) ? 'KNOWN RED' : 'FAILED'}: ${assertion.name}`)
+    console.log(`${knownFailures.has(assertion.name) ? 'KNOWN FAILURE' : 'FAILED'}: ${assertion.name}`)
     console.log(JSON.stringify(assertion.diag, null, 2))
   }
   for (const name of stale) console.log(`listed in KNOWN-RED.txt but passing: ${name}`)
