--- a/packages/standins/src/backend-behaviour.ts
+++ b/packages/standins/src/backend-behaviour.ts
@@ -7,8 +7,8 @@
   execute (): Promise<void>
   /** Sends the normal response: status 200 with the request's body. */
   respond (): void
-  /** Responds with an error status; `isNotRun` adds the header `comfreygrade-not-run: true`. */
-  respondWithError (status: number, isNotRun: boolean): void
+  /** Responds with an error status; `isNotExecuted` adds the header `comfreygrade-not-run: true`. */
+  respondWithError (status: number, isNotExecuted: boolean): void
   /** Closes the connection without a response. */
   closeConnection (): void
 }
@@ -52,7 +52,7 @@
   }
 }
 
-/** Accepts connections and requests but never responds, like a frozen VM. */
+/** Accepts connections and requests but never responds and sends no heartbeats, like a frozen VM. */
 export class FreezeBehaviour extends BackendBehaviour {
   override get sendsHeartbeats (): boolean {
     return false
@@ -62,7 +62,7 @@
 }
 
 /** Executes, then delays the response by `delayMs`. */
-export class AnswerLateBehaviour extends BackendBehaviour {
+export class RespondLateBehaviour extends BackendBehaviour {
   readonly #delayMs: number
 
   constructor (delayMs: number) {
@@ -86,18 +86,18 @@
 }
 
 /**
- * Creates the behaviour with the given name; `answerDelayMs` applies to `answer_late` only.
+ * Creates the behaviour with the given name; `responseDelayMs` applies to `answer_late` only.
  *
  * @example
  * createBackendBehaviour('answer_late', 500)
  */
-export function createBackendBehaviour (name: BackendBehaviourName, answerDelayMs = 1_000): BackendBehaviour {
+export function createBackendBehaviour (name: BackendBehaviourName, responseDelayMs = 1_000): BackendBehaviour {
   switch (name) {
     case 'serve': return new ServeBehaviour()
     case 'reject': return new RejectBehaviour()
     case 'fail_fast': return new FailFastBehaviour()
     case 'freeze': return new FreezeBehaviour()
-    case 'answer_late': return new AnswerLateBehaviour(answerDelayMs)
+    case 'answer_late': return new RespondLateBehaviour(responseDelayMs)
     case 'cut_after_executing': return new CutAfterExecutingBehaviour()
   }
 }
--- a/packages/standins/src/backend-server.ts
+++ b/packages/standins/src/backend-server.ts
@@ -16,9 +16,11 @@
   readonly region: string
   readonly availabilityZone: string
   readonly services: readonly string[]
+  /** Maximum number of concurrent executions; more requests wait. */
   readonly slots: number
+  /** Maximum number of open requests; more are refused with 503. */
   readonly connections: number
-  /** Service time of requests that specify none. */
+  /** Service time of requests without the header `standin-service-ms` or the query parameter `serviceMs`. */
   readonly serviceMs: number
   /** 0 selects a free port. */
   readonly port: number
@@ -117,7 +119,7 @@
     this.#behaviour = behaviour
   }
 
-  /** Sets the service time of requests that specify none. */
+  /** Sets the service time of requests without the header `standin-service-ms` or the query parameter `serviceMs`. */
   setServiceMs (serviceMs: number): void {
     this.#serviceMs = serviceMs
   }
@@ -267,12 +269,12 @@
     this.#response.end(this.#body)
   }
 
-  respondWithError (status: number, isNotRun: boolean): void {
+  respondWithError (status: number, isNotExecuted: boolean): void {
     this.#response.writeHead(status, {
       'content-type': 'text/plain',
-      ...(isNotRun ? { 'comfreygrade-not-run': 'true' } : {})
+      ...(isNotExecuted ? { 'comfreygrade-not-run': 'true' } : {})
     })
-    this.#response.end(isNotRun ? 'not run' : 'failed')
+    this.#response.end(isNotExecuted ? 'not run' : 'failed')
   }
 
   closeConnection (): void {
--- a/packages/standins/src/demo-workload.ts
+++ b/packages/standins/src/demo-workload.ts
@@ -75,15 +75,15 @@
 /** Waits until every job has ended; rejects if one did not complete. */
 export async function waitForDemoJobs (client: NodeClient): Promise<readonly JobAnswer[]> {
   const jobs = await waitFor('all jobs to end', JOBS_TIMEOUT_MS, async () => {
-    const answer = await client.jobs()
-    return answer.jobs.every(({ phase }) => phase === 'ended') ? answer.jobs : undefined
+    const response = await client.jobs()
+    return response.jobs.every(({ phase }) => phase === 'ended') ? response.jobs : undefined
   })
   const notCompleted = jobs.filter(({ outcome }) => outcome !== 'completed')
   if (notCompleted.length > 0) throw new Error(`jobs that did not complete: ${JSON.stringify(notCompleted)}`)
   return jobs
 }
 
-/** Counts of the demo's short requests, printed under these names. */
+/** Counts of the demo's short requests, printed under these names; an answer is a response with status 200. */
 export interface RequestSummary {
   readonly idempotentAnswers: number
   readonly nonRepeatableAnswers: number
--- a/packages/standins/src/local-cluster.ts
+++ b/packages/standins/src/local-cluster.ts
@@ -10,6 +10,7 @@
 
 const NODE_SCRIPT = join(import.meta.dirname, '../../node/dist/main.js')
 const READY_TIMEOUT_MS = 20_000
+/** Longer than the default `shutdownLimitMs` of a node, which is 30 s. */
 const STOP_TIMEOUT_MS = 40_000
 const CALL_TIMEOUT_MS = 5_000
 
--- a/packages/standins/src/local.ts
+++ b/packages/standins/src/local.ts
@@ -52,11 +52,11 @@
 const cluster = await LocalCluster.start()
 await applyInventory(cluster)
 const backendServers = Array.from({ length: cli.flags.backends }, (_, index) => createBackendServer(cluster, index))
-await Promise.all(backendServers.map(async backend => { await backend.start() }))
+await Promise.all(backendServers.map(async server => { await server.start() }))
 for (const signal of ['SIGINT', 'SIGTERM'] as const) {
   process.once(signal, () => {
-    const ended = Promise.all([...backendServers.map(async backend => { await backend.kill() }), cluster.stop()])
+    const ended = Promise.all([...backendServers.map(async server => { await server.kill() }), cluster.stop()])
     ended.finally(() => { process.exit(0) })
   })
 }
-console.log(JSON.stringify({ entries: cluster.entryAddresses, direct: backendServers.map(backend => `${backend.address}/charge`) }))
+console.log(JSON.stringify({ entries: cluster.entryAddresses, direct: backendServers.map(server => `${server.address}/charge`) }))
--- a/packages/standins/src/main.ts
+++ b/packages/standins/src/main.ts
@@ -12,11 +12,13 @@
 
   Options
     --port        port on 127.0.0.1; 0 selects a free one (0)
-    --region, --zone, --rack  where the stand-in is located; the rack is only printed
-    --slots       slots of a backend server, accelerators of a worker (8)
-    --service     service of a backend server; repeatable (charge)
-    --service-ms  service time of requests that specify none (5)
-    --run-ms      run time of a task (1000)
+    --region      region of a backend server (montevideo); a worker only prints it
+    --zone        availability zone of a backend server (montevideo-a); a worker only prints it
+    --rack        rack, which is only printed
+    --slots       concurrent executions of a backend server, or accelerators of a worker (8)
+    --service     backend server only: service that it provides; repeatable (charge)
+    --service-ms  backend server only: service time of requests that do not request one (5)
+    --run-ms      worker only: run time of a task (1000)
     --behaviour   backend server: serve, reject, fail_fast, freeze, answer_late, cut_after_executing
                   worker: work, refuse, fail
 `, {
@@ -44,6 +46,7 @@
   stop (): Promise<void>
 }
 
+/** Finds the behaviour of the given name; exits with code 2 if there is none. */
 function parseName<T extends string> (name: string, names: readonly T[]): T {
   const chosen = names.find(candidate => candidate === name)
   if (chosen !== undefined) return chosen
--- a/packages/standins/src/node-settings.ts
+++ b/packages/standins/src/node-settings.ts
@@ -1,4 +1,4 @@
-/** Settings files of the nodes of a local cluster (design page, section 4.5). */
+/** Settings files of the nodes of a local cluster (docs/design.md, section 4.5). */
 import { mkdir, writeFile } from 'node:fs/promises'
 import { join } from 'node:path'
 import { stringify } from 'yaml'
--- a/packages/standins/src/orders.ts
+++ b/packages/standins/src/orders.ts
@@ -1,12 +1,21 @@
-/** Messages between the control leader and workers (design page, section 4.1); workers need no other interface. */
+/** Messages between the control leader and workers (docs/design.md, section 4.1); workers need no other interface. */
 
-/** The action that a worker has to take on one task. */
+/**
+ * The action that a worker has to take on one task:
+ *
+ * - `prepare` reserves the task's accelerators and runs nothing yet.
+ * - `start` runs a prepared task.
+ * - `checkpoint` saves the task's state, then stops the task.
+ * - `throttle` makes a running task slower.
+ * - `stop` ends the task and frees its accelerators; a later `prepare` of the same placement is refused.
+ */
 export type OrderKind = 'prepare' | 'start' | 'checkpoint' | 'throttle' | 'stop'
 
 export interface WorkerOrder {
   readonly kind: OrderKind
   readonly jobId: string
   readonly taskIndex: number
+  /** Identifies one placement of the job; a job that is placed again gets a higher ID. Not the lease of the worker. */
   readonly leaseId: number
   readonly firstAccelerator: number
   readonly acceleratorCount: number
@@ -16,7 +25,7 @@
   readonly leaseMs: number
 }
 
-/** A worker's result for one order. */
+/** A worker's result for one order; `unknown_lease` means that the worker has no task of that `leaseId`. */
 export type OrderResult = 'accepted' | 'refused' | 'stale_term' | 'unknown_lease'
 
 /** Body of `POST {worker}/v1/orders`. */
@@ -31,8 +40,8 @@
   readonly results: readonly OrderResult[]
 }
 
-/** Identifies one task under one lease. */
-export interface TaskLease {
+/** Identifies one task in one placement of its job; `leaseId` is the ID of the placement. */
+export interface PlacedTask {
   readonly jobId: string
   readonly taskIndex: number
   readonly leaseId: number
@@ -42,5 +51,6 @@
 export interface WorkerLeaseResponse {
   readonly term: number
   readonly leaseMs: number
-  readonly stopTasks: readonly TaskLease[]
+  /** Tasks to stop; ended ones are acknowledged by being listed, and are then no longer reported. */
+  readonly stopTasks: readonly PlacedTask[]
 }
--- a/packages/standins/src/relay.ts
+++ b/packages/standins/src/relay.ts
@@ -1,4 +1,4 @@
-/** A TCP relay on loopback that blocks, silences or resets connections, to test network failures. */
+/** A TCP relay, on loopback by default, that blocks, silences or resets connections, to test network failures. */
 import { type AddressInfo, connect, createServer, type Server, type Socket } from 'node:net'
 import { LOOPBACK_HOST } from './loopback-server.js'
 
@@ -51,7 +51,10 @@
     return this.#port
   }
 
-  /** Holds back data and closes, on open and new connections, so that both ends see only silence. */
+  /**
+   * Holds back data and the end or close of a connection in the given direction, on open and on new connections, so
+   * that the receiving end sees only silence.
+   */
   block (direction: BlockedDirection): void {
     this.#blocked = direction
     for (const connection of this.#connections) connection.block(direction)
@@ -130,7 +133,7 @@
   }
 }
 
-/** Forwards the data, end and close of one socket to another, with backpressure. */
+/** Forwards the data, the end of data and the close of one socket to another, with backpressure. */
 class OneWayForwarder {
   readonly #from: Socket
   readonly #to: Socket
--- a/packages/standins/src/task-table.ts
+++ b/packages/standins/src/task-table.ts
@@ -1,11 +1,11 @@
-/** The tasks of one worker under its lease (design page, section 3.5). Does no I/O and reads no clock. */
+/** The tasks of one worker under its lease (docs/design.md, section 3.5). Does no I/O and reads no clock. */
 import type { TaskReport, TaskState } from '@comfreygrade/core'
-import type { OrderBatch, OrderBatchResponse, OrderResult, TaskLease, WorkerLeaseResponse, WorkerOrder } from './orders.js'
+import type { OrderBatch, OrderBatchResponse, OrderResult, PlacedTask, WorkerLeaseResponse, WorkerOrder } from './orders.js'
 import type { RunTimes } from './run-times.js'
 import type { WorkerBehaviour } from './worker-behaviour.js'
 
 /** History of one task on this worker. Times are in milliseconds on the monotonic clock. */
-export interface TaskRun extends TaskLease {
+export interface TaskRun extends PlacedTask {
   readonly firstAccelerator: number
   readonly acceleratorCount: number
   readonly state: TaskState
@@ -24,7 +24,7 @@
 /** Bounds memory where no leader acknowledges ended tasks; the oldest are evicted first. */
 const MAX_REPORTED_ENDED_TASKS = 1_000
 
-/** Factor by which the remaining run time of a throttled task grows. */
+/** Factor by which the remaining run time of a throttled task grows; the task is simulated at half its speed. */
 const THROTTLED_RUN_TIME_FACTOR = 2
 
 /** Applies orders and lease renewals to the tasks, and ends tasks as time passes. */
@@ -33,11 +33,14 @@
   readonly #runTimes: RunTimes
   readonly #tasks = new Map<string, TaskEntry>()
   readonly #runs: TaskEntry[] = []
-  readonly #highestEndedLeaseIds = new Map<string, number>()
+  readonly #highestEndedPlacementIds = new Map<string, number>()
   readonly #incarnation: number
   #behaviour: WorkerBehaviour
   #highestTerm = 0
-  /** One lease covers all tasks of the worker; only responses to heartbeats renew it. */
+  /**
+   * One lease covers all tasks of the worker, unlike the `leaseId` of a task, which identifies a placement. Only
+   * responses to heartbeats renew it.
+   */
   #leaseExpiresMs = -Infinity
 
   constructor (accelerators: number, runTimes: RunTimes, behaviour: WorkerBehaviour, incarnation: number) {
@@ -86,7 +89,7 @@
     if (response.term < this.#highestTerm) return
     this.#highestTerm = response.term
     this.#leaseExpiresMs = Math.max(this.#leaseExpiresMs, sentMs + response.leaseMs)
-    for (const lease of response.stopTasks) this.#removeTask(lease, nowMs)
+    for (const placedTask of response.stopTasks) this.#removeTask(placedTask, nowMs)
   }
 
   /**
@@ -117,10 +120,11 @@
     if (order.kind !== 'stop' && nowMs >= this.#leaseExpiresMs) return 'refused'
     if (order.kind === 'prepare') return this.#prepare(order, nowMs)
     const task = this.#findTask(order)
-    if (task === undefined) return this.#handleUnknownLease(order)
+    if (task === undefined) return this.#handleUnknownPlacement(order)
     switch (order.kind) {
       case 'start': return this.#start(task, nowMs)
       case 'throttle': return this.#throttle(task, nowMs)
+      // A stand-in has no state to save, so a checkpoint only stops the task.
       case 'checkpoint':
       case 'stop':
         this.#endTask(task, 'stopped', nowMs)
@@ -131,7 +135,7 @@
   #prepare (order: WorkerOrder, nowMs: number): OrderResult {
     const existing = this.#findTask(order)
     if (existing !== undefined) return holdsAccelerators(existing) ? 'accepted' : 'refused'
-    if (order.leaseId <= (this.#highestEndedLeaseIds.get(taskKey(order)) ?? -1)) return 'refused'
+    if (order.leaseId <= (this.#highestEndedPlacementIds.get(taskKey(order)) ?? -1)) return 'refused'
     if (!this.#behaviour.acceptsPrepare(order) || !this.#areAcceleratorsFree(order)) return 'refused'
     this.#addTask(order, nowMs)
     return 'accepted'
@@ -152,7 +156,7 @@
       isThrottled: false,
       plannedEnd: undefined
     }
-    this.#tasks.set(leaseKey(order), task)
+    this.#tasks.set(placementKey(order), task)
     this.#runs.push(task)
   }
 
@@ -175,10 +179,10 @@
     return 'accepted'
   }
 
-  /** Records the lease of a `stop` that arrives before its `prepare` as ended, so that the `prepare` is refused. */
-  #handleUnknownLease (order: WorkerOrder): OrderResult {
+  /** Records the placement of a `stop` that arrives before its `prepare` as ended, so that the `prepare` is refused. */
+  #handleUnknownPlacement (order: WorkerOrder): OrderResult {
     if (order.kind !== 'stop') return 'unknown_lease'
-    this.#recordEndedLease(order)
+    this.#recordEndedPlacement(order)
     return 'accepted'
   }
 
@@ -189,15 +193,15 @@
       task.firstAccelerator < endAccelerator && order.firstAccelerator < task.firstAccelerator + task.acceleratorCount)
   }
 
-  #findTask (lease: TaskLease): TaskEntry | undefined {
-    return this.#tasks.get(leaseKey(lease))
+  #findTask (placedTask: PlacedTask): TaskEntry | undefined {
+    return this.#tasks.get(placementKey(placedTask))
   }
 
-  #removeTask (lease: TaskLease, nowMs: number): void {
-    const task = this.#findTask(lease)
+  #removeTask (placedTask: PlacedTask, nowMs: number): void {
+    const task = this.#findTask(placedTask)
     if (task === undefined) return
     this.#endTask(task, 'stopped', nowMs)
-    this.#tasks.delete(leaseKey(lease))
+    this.#tasks.delete(placementKey(placedTask))
   }
 
   #endTaskIfDue (task: TaskEntry, nowMs: number): boolean {
@@ -216,16 +220,16 @@
     if (!holdsAccelerators(task)) return
     task.state = state
     task.endedMs = nowMs
-    this.#recordEndedLease(task)
+    this.#recordEndedPlacement(task)
   }
 
   #taskDueMs (task: TaskEntry): number {
     return Math.min(this.#leaseExpiresMs, task.plannedEnd?.atMs ?? Infinity)
   }
 
-  #recordEndedLease (lease: TaskLease): void {
-    const key = taskKey(lease)
-    this.#highestEndedLeaseIds.set(key, Math.max(lease.leaseId, this.#highestEndedLeaseIds.get(key) ?? -1))
+  #recordEndedPlacement (placedTask: PlacedTask): void {
+    const key = taskKey(placedTask)
+    this.#highestEndedPlacementIds.set(key, Math.max(placedTask.leaseId, this.#highestEndedPlacementIds.get(key) ?? -1))
   }
 
   #evictEndedTasks (): void {
@@ -242,10 +246,10 @@
   return task.state === 'prepared' || task.state === 'running'
 }
 
-function taskKey ({ jobId, taskIndex }: TaskLease): string {
+function taskKey ({ jobId, taskIndex }: PlacedTask): string {
   return `${jobId}/${taskIndex}`
 }
 
-function leaseKey (lease: TaskLease): string {
-  return `${taskKey(lease)}/${lease.leaseId}`
+function placementKey (placedTask: PlacedTask): string {
+  return `${taskKey(placedTask)}/${placedTask.leaseId}`
 }
--- a/packages/standins/src/waiting.ts
+++ b/packages/standins/src/waiting.ts
@@ -4,8 +4,8 @@
 const POLL_INTERVAL_MS = 100
 
 /**
- * Calls `poll` until it returns a value other than undefined. Errors of `poll` are retried too; after `timeoutMs` the
- * promise rejects, with the error of the last call in its message if that call failed.
+ * Calls `poll` until it returns a value other than undefined. Errors of `poll` are retried too. No call starts after
+ * `timeoutMs`; the promise then rejects, with the error of the last call in its message if that call failed.
  *
  * @example
  * await waitFor('every worker to be active', 20_000, async () => (await allActive()) ? true : undefined)
--- a/packages/standins/test/backend-server.test.ts
+++ b/packages/standins/test/backend-server.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava'
 import { request } from 'undici'
 import { createBackendBehaviour, type BackendBehaviourName, StandInBackendServer } from '../src/index.js'
-import { FakeEntryNode, waitUntil } from './fake-entry.js'
+import { FakeEntryNode, pollUntil } from './fake-entry.js'
 
 async function postRequest (server: StandInBackendServer, body = 'page', headers: Record<string, string> = {}) {
   const response = await request(`${server.address}/charge`, {
@@ -56,9 +56,9 @@
   await Promise.all([first.start(), second.start()])
   const server = new StandInBackendServer({ backendServerId: 'b1', entryAddresses: [first.address, second.address] })
   await server.start()
-  await waitUntil(() => first.count('PUT') > 1)
+  await pollUntil(() => first.count('PUT') > 1)
   await first.stop()
-  await waitUntil(() => second.count('PUT') > 1)
+  await pollUntil(() => second.count('PUT') > 1)
   await server.stop()
   t.deepEqual(second.requests.at(-1), { method: 'DELETE', path: '/v1/backend-servers/b1', body: {} })
   const sequences = second.requests.slice(0, -1).map(({ body }) => Number(body['sequence']))
@@ -69,7 +69,7 @@
 test('a graceful stop completes open requests, so that no response is lost', async t => {
   const server = await startServer()
   const response = postRequest(server, 'page', { 'standin-service-ms': '50' })
-  await waitUntil(() => server.openRequests === 1)
+  await pollUntil(() => server.openRequests === 1)
   await server.stop()
   t.like(await response, { status: 200, text: 'page' })
 })
@@ -77,7 +77,8 @@
 test('a frozen server can be stopped, so that no test hangs on a request without a response', async t => {
   const server = await startServer('freeze')
   const unanswered = t.throwsAsync(postRequest(server))
-  await waitUntil(() => server.unansweredRequests === 1)
+  await pollUntil(() => server.unansweredRequests === 1)
+  // The new behaviour does not respond to the request that is already open.
   server.setBehaviour(createBackendBehaviour('serve'))
   await server.stop()
   await unanswered
--- a/packages/standins/test/fake-entry.ts
+++ b/packages/standins/test/fake-entry.ts
@@ -32,6 +32,6 @@
 }
 
 /** Polls until a condition holds; the timeout of the test ends a wait that would never end. */
-export async function waitUntil (condition: () => boolean): Promise<void> {
+export async function pollUntil (condition: () => boolean): Promise<void> {
   while (!condition()) await new Promise(resolve => setTimeout(resolve, 5))
 }
--- a/packages/standins/test/gangs.test.ts
+++ b/packages/standins/test/gangs.test.ts
@@ -6,7 +6,10 @@
 import { testInventory, startConfiguredCluster } from './system-fixture.js'
 
 const GANG_TASKS = 2
-/** A lost worker is detected within the test; tasks of tests that lose a worker run longer than a lease. */
+/**
+ * Short leases, so that a lost worker is detected within the test. In tests that lose a worker, tasks run longer than a
+ * lease, so that they still run when the loss is detected.
+ */
 const SHORT_LEASE_SETTINGS = { control: { leaseMs: 2_000 } }
 const JOBS_TIMEOUT_MS = 60_000
 
@@ -56,11 +59,11 @@
   })
 }
 
-/** Finds gangs of which a task started before every task was prepared under the same lease. */
+/** Finds gangs of which a task started before every task of the same placement was prepared. */
 function findPartialGangs (workers: readonly StandInWorker[]): string[] {
   const gangs = new Map<string, TaskRun[]>()
   for (const run of workers.flatMap(worker => worker.runs)) {
-    const key = `${run.jobId} under lease ${run.leaseId}`
+    const key = `${run.jobId} in placement ${run.leaseId}`
     gangs.set(key, [...gangs.get(key) ?? [], run])
   }
   return [...gangs].filter(([, runs]) => {
@@ -70,7 +73,7 @@
   }).map(([key]) => key)
 }
 
-test.serial('a leader killed while gangs start leaves no gang partially started, and the next leader completes all gangs', async t => {
+test.serial('a leader killed shortly after gangs were submitted leaves no gang partially started, and the next leader completes all gangs', async t => {
   const cluster = await startConfiguredCluster(t, { sections: SHORT_LEASE_SETTINGS })
   const workers = await startWorkers(t, cluster, 300)
   await submitGangs(cluster, 12)
@@ -85,27 +88,28 @@
   const cluster = await startConfiguredCluster(t, { sections: SHORT_LEASE_SETTINGS })
   const workers = await startWorkers(t, cluster, 3_000)
   await submitGangs(cluster, 4)
-  const busy = await waitFor('a worker to run a task', 10_000, async () =>
+  const lostWorker = await waitFor('a worker to run a task', 10_000, async () =>
     workers.find(worker => worker.runs.some(run => run.state === 'running')))
-  const lostRun = busy.runs.find(run => run.state === 'running')
-  await busy.kill()
+  const lostRun = lostWorker.runs.find(run => run.state === 'running')
+  await lostWorker.kill()
   const jobs = await waitForJobsToEnd(cluster, 4)
   t.deepEqual([...new Set(jobs.map(job => job.outcome))], ['completed'])
   t.deepEqual(findPartialGangs(workers), [])
   const lostJob = jobs.find(job => job.spec.jobId === lostRun?.jobId)
   t.true((lostJob?.starts ?? 0) >= 2)
-  const sibling = workers.filter(worker => worker !== busy).flatMap(worker => worker.runs)
+  const sibling = workers.filter(worker => worker !== lostWorker).flatMap(worker => worker.runs)
     .find(run => run.jobId === lostRun?.jobId && run.leaseId === lostRun.leaseId)
   t.is(sibling?.state, 'stopped')
 })
 
-test.serial('a frozen worker stops its task before the accelerators are given to another gang', async t => {
+test.serial('a worker that is frozen beyond its lease stops its task when it resumes, and every gang completes', async t => {
   const cluster = await startConfiguredCluster(t, { sections: SHORT_LEASE_SETTINGS })
   const workers = await startWorkers(t, cluster, 3_000)
   await submitGangs(cluster, 4)
   const frozen = await waitFor('a worker to run a task', 10_000, async () =>
     workers.find(worker => worker.runs.some(run => run.state === 'running')))
   frozen.freeze()
+  // Longer than the lease of 2 s, so that it has expired when the worker resumes.
   await delay(4_000)
   frozen.resume()
   const jobs = await waitForJobsToEnd(cluster, 4)
@@ -114,7 +118,7 @@
   t.true(frozen.runs.some(run => run.isLeaseExpired))
 })
 
-test.serial('an urgent gang reclaims its guaranteed rack from jobs on lent capacity within 5.1 s, and they run again later', async t => {
+test.serial('an urgent gang reclaims its guaranteed rack from a job on lent capacity within 5.1 s, and every job completes', async t => {
   const cluster = await startConfiguredCluster(t, { sections: SHORT_LEASE_SETTINGS })
   const workers = await startWorkers(t, cluster, 6_000)
   const client = cluster.client('montevideo-2')
--- a/packages/standins/test/relay.test.ts
+++ b/packages/standins/test/relay.test.ts
@@ -2,7 +2,7 @@
 import { connect, createServer, type AddressInfo, type Socket } from 'node:net'
 import test from 'ava'
 import { Relay } from '../src/index.js'
-import { waitUntil } from './fake-entry.js'
+import { pollUntil } from './fake-entry.js'
 
 async function startEchoServer (): Promise<{ port: number, close: () => void }> {
   const server = createServer(socket => { socket.on('error', () => {}).pipe(socket) })
@@ -72,7 +72,7 @@
       await new Promise(resolve => setTimeout(resolve, 30))
       t.is(relay.openConnections, 1)
       relay.restore()
-      await waitUntil(() => relay.openConnections === 0)
+      await pollUntil(() => relay.openConnections === 0)
     }
   })
 })
--- a/packages/standins/test/system-fixture.ts
+++ b/packages/standins/test/system-fixture.ts
@@ -71,9 +71,9 @@
 /** Result of a request, and what the response says about its execution. */
 export interface RequestResult {
   readonly requestId: string
-  readonly key: string
+  readonly idempotencyKey: string
   readonly status: number
-  /** `unknown` if there was no valid response. */
+  /** `unknown` also if there was no valid response; the status is then 0. */
   readonly outcome: 'completed' | 'not_run' | 'unknown' | 'not_applicable'
   readonly body: string
 }
@@ -97,9 +97,9 @@
     })
     const body = await response.body.text()
     const outcome = response.statusCode < 300 ? 'completed' : (JSON.parse(body) as RequestResult).outcome
-    return { requestId, key, status: response.statusCode, outcome, body }
+    return { requestId, idempotencyKey: key, status: response.statusCode, outcome, body }
   } catch {
-    return { requestId, key, status: 0, outcome: 'unknown', body: '' }
+    return { requestId, idempotencyKey: key, status: 0, outcome: 'unknown', body: '' }
   }
 }
 
--- a/packages/standins/test/system.test.ts
+++ b/packages/standins/test/system.test.ts
@@ -41,7 +41,8 @@
     const reported = [first[index]?.outcome, again[index]?.outcome]
     if (reported.includes('completed')) t.is(count, 1, `key ${index} was reported as completed`)
   }
-  for (const { key, outcome, status } of [...first, ...again]) {
+  // The requests are valid, so only a temporary refusal (503) is expected.
+  for (const { idempotencyKey: key, outcome, status } of [...first, ...again]) {
     if (outcome === 'not_run' && status !== 503) t.fail(`key ${key} was refused with ${status}`)
   }
   // All entry nodes that took requests survive, so a repeat of any request must report it as completed.
@@ -55,6 +56,7 @@
   const others = cluster.controlNodeIds().filter(nodeId => nodeId !== frozen)
   const leader = await cluster.waitForLeader(others)
   await cluster.client(leader).applyChange(createOrganisationChange(2, 'during-freeze'))
+  // Longer than the configuration lease of 5 s.
   await delay(6_000)
   cluster.resume(frozen)
 
@@ -99,7 +101,7 @@
 
   await cluster.kill(second)
   const survivor = await cluster.waitForLeader([leader, lost])
-  const accepted = await waitFor('a change with the repaired voter', 20_000, async () =>
+  const accepted = await waitFor('a change to be accepted with the recovered control node', 20_000, async () =>
     await cluster.client(survivor).applyChange(createOrganisationChange(3, 'after-second-loss')))
   t.is(accepted.version, 3)
   const { document } = await cluster.client(survivor).configuration()
@@ -114,16 +116,17 @@
   cluster.partition()
   const leader = await cluster.waitForLeader(others)
   await cluster.client(leader).applyChange(createOrganisationChange(2, 'during-cut'))
-  const partitionedMs = performance.now()
+  const acceptedMs = performance.now()
 
   const address = cluster.nodes.find(node => node.nodeId === relayedNodeId)?.address ?? ''
   const refused = await waitFor('the partitioned node to refuse requests', STALE_LEASE_TIMEOUT_MS, async () => {
+    // The time makes the request ID of each call unique.
     const result = await sendRequest(address, `cut-${performance.now() | 0}`)
     return result.body.includes('configuration_stale') ? result : undefined
   })
   t.is(refused.outcome, 'not_run')
   await waitFor('the change to be in force without the partitioned node',
-    IN_FORCE_TARGET_MS - (performance.now() - partitionedMs),
+    IN_FORCE_TARGET_MS - (performance.now() - acceptedMs),
     async () => (await cluster.client(leader).configurationStatus()).isInForceEverywhere || undefined)
   t.is((await sendRequest(cluster.nodes.find(node => node.nodeId === leader)?.address ?? '', 'during-cut')).outcome, 'completed')
 
@@ -136,7 +139,7 @@
   })
 })
 
-test.serial('a graceful shutdown responds to every open request and refuses later ones as not run', async t => {
+test.serial('a graceful shutdown responds to every open request, and a later one is refused as not run or gets no response', async t => {
   const cluster = await startConfiguredCluster(t)
   const backendServers = await startBackendServers(t, cluster, 2, 800)
   const leaving = cluster.nodes[4]
@@ -147,6 +150,7 @@
   const terminated = cluster.terminate(leaving?.nodeId ?? '')
   await delay(100)
   const late = await sendRequest(leaving?.address ?? '', 'late')
+  // Status 0 means no response, as when the port is already closed.
   t.true(late.status === 503 || late.status === 0)
   t.true(late.outcome === 'not_run' || late.status === 0)
   const results = await Promise.all(calls)
@@ -215,7 +219,7 @@
   const again = await Promise.all(keys.map(async (key, index) => await sendRequest(other?.address ?? '', `again-${index}`, key)))
   await delay(500)
   const executions = countExecutionsByKey(backendServers)
-  for (const { key, outcome } of again) {
+  for (const { idempotencyKey: key, outcome } of again) {
     const count = executions.get(key) ?? 0
     t.true(count <= 1, `key ${key} ran ${count} times`)
     if (outcome === 'not_run') t.is(count, 0)
@@ -237,7 +241,7 @@
   t.pass()
 })
 
-test.serial('a control node that can send but not receive does not keep the lead, stops serving and reverts no change', async t => {
+test.serial('a control node that can send but not receive prevents no election of another leader, stops serving and reverts no change', async t => {
   const relayedNodeId = 'salto-1'
   const cluster = await startConfiguredCluster(t, { relayedNodeId })
   await startBackendServers(t, cluster, 2, 5)
@@ -272,9 +276,10 @@
   t.pass()
 })
 
-test.serial('cancelling 200 jobs while some of them run ends every job and frees every accelerator', async t => {
+test.serial('cancelling 200 waiting jobs ends every job as cancelled, and no accelerator is in use afterwards', async t => {
   const cluster = await startConfiguredCluster(t)
   const client = cluster.client('salto-2')
+  // No worker has registered, so no job can be placed.
   const jobIds = Array.from({ length: 200 }, (_, index) => `wave-${index}`)
   await Promise.all(jobIds.map(async jobId => await client.submitJob({
     jobId,
@@ -293,8 +298,8 @@
   const cancelled = await Promise.all(jobIds.map(async jobId => await client.cancelJob(jobId)))
   t.is(cancelled.length, jobIds.length)
   const jobs = await waitFor('every job to end', 20_000, async () => {
-    const answer = await client.jobs({ limit: 1_000 })
-    return answer.jobs.every(job => job.phase === 'ended') ? answer.jobs : undefined
+    const response = await client.jobs({ limit: 1_000 })
+    return response.jobs.every(job => job.phase === 'ended') ? response.jobs : undefined
   })
   t.deepEqual([...new Set(jobs.map(job => job.outcome))], ['cancelled'])
   t.is((await client.fleet()).report.acceleratorsInUse, 0)
--- a/packages/standins/test/task-table.test.ts
+++ b/packages/standins/test/task-table.test.ts
@@ -36,7 +36,7 @@
   t.is(table.runs[0]?.state, 'prepared')
 })
 
-test('a task is stopped when its lease is not renewed, so that its accelerators can be reassigned', t => {
+test('a task is stopped when the lease of the worker is not renewed, so that its accelerators can be reassigned', t => {
   const table = createTable()
   table.handleOrders(createBatch(1, createOrder('prepare'), createOrder('start')), 0)
   t.false(table.endDueTasks(99))
@@ -58,7 +58,7 @@
   t.is(table.nextDueMs(), 100)
 })
 
-test('a task that would end after its lease is reported as stopped, so that a frozen worker reports no false completion', t => {
+test('a task that would end after the lease of the worker is recorded as stopped, so that a frozen worker reports no false completion', t => {
   const table = createTable(150)
   table.handleOrders(createBatch(1, createOrder('prepare'), createOrder('start')), 0)
   table.endDueTasks(10_000)
--- a/packages/standins/test/worker.test.ts
+++ b/packages/standins/test/worker.test.ts
@@ -2,7 +2,7 @@
 import { request } from 'undici'
 import { ManualClock, type Clock } from '@comfreygrade/core'
 import { FailTasksBehaviour, FixedRunTime, type OrderKind, RefusePrepareBehaviour, StandInWorker } from '../src/index.js'
-import { FakeEntryNode, waitUntil } from './fake-entry.js'
+import { FakeEntryNode, pollUntil } from './fake-entry.js'
 
 interface WorkerFixture { entry: FakeEntryNode, worker: StandInWorker }
 
@@ -12,6 +12,7 @@
   const orders = kinds.map(kind => ({
     kind, jobId: 'j-1', taskIndex: 0, leaseId: 1, ...cell, incarnation, leaseMs: 300
   }))
+  // The timeout is longer than the lease of 300 ms, which has therefore expired when a frozen worker has not responded.
   const response = await request(`${worker.address}/v1/orders`, {
     method: 'POST', body: JSON.stringify({ term: 1, orders }), signal: AbortSignal.timeout(500)
   })
@@ -24,7 +25,7 @@
   const worker = new StandInWorker({ entries: [entry.address], runTimes: new FixedRunTime(runMs) }, clock)
   await worker.start()
   // A worker refuses orders until its first heartbeat has obtained a lease.
-  await waitUntil(() => worker.acceptedHeartbeats > 0)
+  await pollUntil(() => worker.acceptedHeartbeats > 0)
   return { entry, worker }
 }
 
@@ -40,7 +41,7 @@
   await sendOrders(fixture, 'prepare', 'start')
   while (fixture.worker.runs[0]?.endedMs === undefined) {
     const acceptedBefore = fixture.worker.acceptedHeartbeats
-    await waitUntil(() => fixture.worker.acceptedHeartbeats > acceptedBefore)
+    await pollUntil(() => fixture.worker.acceptedHeartbeats > acceptedBefore)
     clock.advance(100)
   }
   t.is(fixture.worker.runs[0]?.state, 'completed')
@@ -52,7 +53,7 @@
   const { entry, worker } = fixture
   await sendOrders(fixture, 'prepare', 'start')
   await entry.stop()
-  await waitUntil(() => worker.runs[0]?.endedMs !== undefined)
+  await pollUntil(() => worker.runs[0]?.endedMs !== undefined)
   t.like(worker.runs[0], { state: 'stopped', isLeaseExpired: true })
   await worker.kill()
 })
@@ -67,13 +68,13 @@
   await stopFixture(fixture)
 })
 
-test('a failed task is reported at once, so that its gang does not wait for the next periodic heartbeat', async t => {
+test('a failed task is reported as failed to an entry node, so that its gang does not wait for it', async t => {
   const fixture = await startWorker(5_000)
   fixture.entry.leaseMs = 60_000
   fixture.worker.setBehaviour(new FailTasksBehaviour())
   await sendOrders(fixture, 'prepare', 'start')
   const hasFailure = () => JSON.stringify(fixture.entry.requests.at(-1)).includes('"failed"')
-  await waitUntil(hasFailure)
+  await pollUntil(hasFailure)
   t.true(hasFailure())
   await stopFixture(fixture)
 })
