--- a/packages/bench/src/batch-bench.ts
+++ b/packages/bench/src/batch-bench.ts
@@ -4,7 +4,10 @@
 import { simulateBatch, type BatchSimulationResult } from './batch-simulation.js'
 import type { BenchTable } from './format.js'
 
-/** A named load. */
+/**
+ * A named load. The names are row names of the table and stay, so that results can be compared with stored ones; a
+ * "crest" is a peak, and the column "worth" is the value of the jobs.
+ */
 export interface BatchScenario {
   readonly name: string
   readonly peaks: readonly LoadPeak[]
@@ -15,7 +18,7 @@
 const WORKERS = 33
 const ARRIVAL_PERIOD_MS = 34_000
 /** Time for running jobs to end after the arrivals stop. */
-const DRAIN_MS = 20_000
+const AFTER_ARRIVALS_MS = 20_000
 
 export const batchScenarios: readonly BatchScenario[] = [
   { name: 'calm', peaks: [], loadFactor: 0.8 },
@@ -52,7 +55,7 @@
     kinds,
     jobs: drawJobs(seed, kinds, ARRIVAL_PERIOD_MS, peaks),
     settings,
-    endsAtMs: ARRIVAL_PERIOD_MS + DRAIN_MS
+    endsAtMs: ARRIVAL_PERIOD_MS + AFTER_ARRIVALS_MS
   }))
 }
 
@@ -69,14 +72,14 @@
 }
 
 function toRow (name: string, results: readonly BatchSimulationResult[]): string[] {
-  const servedValue = results.map(result => result.servedValueShare)
+  const servedValueShares = results.map(result => result.servedValueShare)
   const withinObjective = defaultJobKinds.map(kind => {
     const counts = results.flatMap(result => result.byKind.get(kind.name) ?? [])
     return sum(counts.map(count => count.withinObjective)) / Math.max(1, sum(counts.map(count => count.jobs)))
   })
   const wastedCoreSeconds = mean(results.map(result => result.wastedCoreSeconds))
   return [
-    name, mean(servedValue).toFixed(3), standardDeviation(servedValue).toFixed(3),
+    name, mean(servedValueShares).toFixed(3), standardDeviation(servedValueShares).toFixed(3),
     ...withinObjective.map(share => share.toFixed(3)), Math.round(wastedCoreSeconds).toString()
   ]
 }
--- a/packages/bench/src/batch-load.ts
+++ b/packages/bench/src/batch-load.ts
@@ -2,7 +2,10 @@
 import { Random } from '@comfreygrade/core'
 import type { StepSpec, TaskShape } from '@comfreygrade/batch'
 
-/** Distribution of the jobs of one kind. Figures are means of data supplied by users. */
+/**
+ * Distribution of the jobs of one kind, with means of data supplied by users. A job is within its objective if it ends
+ * at most `slackFactor` times its run time plus `targetLatencyMs` after its arrival.
+ */
 export interface JobKind {
   readonly name: string
   /** Path prefix of its queue. */
@@ -17,21 +20,23 @@
   readonly meanTasks: number
   readonly maxTasks: number
   readonly shape: Omit<TaskShape, 'acceleratorCount'>
+  /** Accelerators per task, drawn uniformly; a repeated value is drawn more often. */
   readonly acceleratorChoices: readonly number[]
   readonly isGang: boolean
   readonly sameRackShare: number
   readonly checkpointingShare: number
   readonly targetLatencyMs: number
   readonly slackFactor: number
-  /** Value to the caller of a job of average size that ends within its objective, and of one that ends late. */
+  /** Value to the caller of a job of average size that ends within its objective. */
   readonly value: number
+  /** The same for a job that ends late. */
   readonly lateValue: number
 }
 
 export interface SimulatedJob {
   readonly jobId: string
   readonly kind: JobKind
-  readonly organisation: number
+  readonly organisationIndex: number
   readonly arrivesAtMs: number
   readonly step: StepSpec
   /** Run time of each task on a worker of speed 1. */
@@ -45,7 +50,7 @@
 const ORGANISATIONS = 4
 const DISCARDED_DRAWS = 20
 
-/** Job kinds with the arrival rates of a busy day on 33 workers. */
+/** Job kinds with the arrival rates of a busy day on 33 workers, of whose accelerator time they need about 86 %. */
 export const defaultJobKinds: readonly JobKind[] = [
   {
     name: 'large gang',
@@ -147,7 +152,7 @@
   }
 }
 
-function drawJob (random: Random, kind: JobKind, arrivesAtMs: number, number: number): SimulatedJob {
+function drawJob (random: Random, kind: JobKind, arrivesAtMs: number, index: number): SimulatedJob {
   const factor = random.nextFloat() < LONG_RUN_SHARE ? LONG_RUN_FACTOR : 1
   const runMs = Math.max(100, drawLognormal(random, kind.meanRunMs, kind.runLogSigma) * factor)
   const accelerators = kind.acceleratorChoices[random.nextInt(0, kind.acceleratorChoices.length - 1)] ?? 1
@@ -155,9 +160,9 @@
     kind.maxTasks, Math.max(1, Math.round(drawLognormal(random, kind.meanTasks, TASK_COUNT_LOG_SIGMA)))
   )
   return {
-    jobId: `${kind.name.replace(' ', '-')}-${number}`,
+    jobId: `${kind.name.replace(' ', '-')}-${index}`,
     kind,
-    organisation: random.nextInt(0, ORGANISATIONS - 1),
+    organisationIndex: random.nextInt(0, ORGANISATIONS - 1),
     arrivesAtMs,
     runMs,
     step: {
--- a/packages/bench/src/batch-simulation.ts
+++ b/packages/bench/src/batch-simulation.ts
@@ -18,7 +18,7 @@
   readonly endsAtMs: number
 }
 
-/** Job counts of one kind. */
+/** Job counts of one kind. Jobs that are neither within their objective nor late were not served. */
 export interface KindResult {
   readonly jobs: number
   readonly withinObjective: number
@@ -29,7 +29,9 @@
   readonly byKind: ReadonlyMap<string, KindResult>
   /** Value of the jobs that ended within their objective or late, as a share of the value of all jobs. */
   readonly servedValueShare: number
-  /** Core time of work that was lost when a run did not complete. */
+  /**
+   * Core time held by runs that did not complete, except for work preserved by checkpoints; includes waits of gangs.
+   */
   readonly wastedCoreSeconds: number
 }
 
@@ -39,11 +41,11 @@
 const WORKER_SPEEDS = [0.8, 1, 1.25]
 /** Factor on the run time of a same-rack gang that was placed on several racks. */
 const CROSS_RACK_RUN_FACTOR = 3
-/** A job that takes longer than this multiple of its objective has no value. */
+/** A job that takes longer than this multiple of its objective counts as not served and has no value. */
 const LATE_LIMIT_FACTOR = 3
 /** Share of a job's value that does not depend on its size. */
 const FIXED_VALUE_SHARE = 0.3
-const MAX_VALUE_FACTOR = 4
+const MAX_SIZE_FACTOR = 4
 const HOST = 'simulated.example'
 
 /**
@@ -88,8 +90,8 @@
   run (): BatchSimulationResult {
     const arrivals = [...this.#options.jobs]
     // The leader knows every worker before the first job arrives.
-    this.#runUntil(this.#startMs + WARM_UP_MS, [])
-    this.#runUntil(this.#startMs + WARM_UP_MS + this.#options.endsAtMs, arrivals)
+    this.#runUntil(this.#startMs + FIRST_HEARTBEATS_MS, [])
+    this.#runUntil(this.#startMs + FIRST_HEARTBEATS_MS + this.#options.endsAtMs, arrivals)
     return this.#result()
   }
 
@@ -111,12 +113,12 @@
     }
   }
 
-  /** A gang runs at the speed of its slowest member. */
-  #startWork (members: ReadonlyArray<{ worker: SimulatedWorker, run: SimulatedRun }>, factor: number): void {
+  /** Sets when the members end; all run at the speed of the slowest. */
+  #startWork (members: ReadonlyArray<{ worker: SimulatedWorker, run: SimulatedRun }>, runFactor: number): void {
     const nowMs = this.#clock.monotonicMs()
     const slowest = Math.min(...members.map(member => member.worker.speed))
     for (const { run } of members) {
-      run.workMs = this.#jobOf(run).runMs * factor / slowest
+      run.workMs = this.#jobOf(run).runMs * runFactor / slowest
       run.workStartedMs = nowMs
       run.endsAtMs = nowMs + Math.max(STEP_MS, run.workMs - run.resumedWorkMs)
     }
@@ -136,13 +138,13 @@
   #createWorkers (random: Random): SimulatedWorker[] {
     return Array.from({ length: this.#options.workers }, (_, index) => {
       const speed = WORKER_SPEEDS[random.nextInt(0, WORKER_SPEEDS.length - 1)] as number
-      const firstMs = this.#startMs + random.nextInt(0, WARM_UP_MS / 2)
+      const firstMs = this.#startMs + random.nextInt(0, FIRST_HEARTBEATS_MS / 2)
       return new SimulatedWorker(`w${index}`, `r${Math.floor(index / WORKERS_PER_RACK)}`, speed, firstMs, this)
     })
   }
 
   #runUntil (endMs: number, arrivals: SimulatedJob[]): void {
-    const arrivalsStartMs = this.#startMs + WARM_UP_MS
+    const arrivalsStartMs = this.#startMs + FIRST_HEARTBEATS_MS
     while (this.#clock.monotonicMs() < endMs) {
       this.#clock.advance(STEP_MS)
       const nowMs = this.#clock.monotonicMs()
@@ -163,8 +165,8 @@
   }
 
   #submit (arrivals: SimulatedJob[]): void {
-    const { jobId, kind, organisation, step } = arrivals.shift() as SimulatedJob
-    const request = { host: HOST, path: `${kind.pathPrefix}${jobId}`, apiKey: `key-${organisation}` }
+    const { jobId, kind, organisationIndex, step } = arrivals.shift() as SimulatedJob
+    const request = { host: HOST, path: `${kind.pathPrefix}${jobId}`, apiKey: `key-${organisationIndex}` }
     this.#handle({
       kind: 'operation',
       requestId: `s${++this.#requestCount}`,
@@ -193,7 +195,7 @@
 
   #recordEnd (jobId: string): void {
     if (this.#endedAtMs.has(jobId) || this.#state.job(jobId)?.state !== 'completed') return
-    this.#endedAtMs.set(jobId, this.#clock.monotonicMs() - this.#startMs - WARM_UP_MS)
+    this.#endedAtMs.set(jobId, this.#clock.monotonicMs() - this.#startMs - FIRST_HEARTBEATS_MS)
   }
 
   #result (): BatchSimulationResult {
@@ -201,14 +203,14 @@
     let totalValue = 0
     let servedValue = 0
     for (const job of this.#options.jobs) {
-      const valueFactor = this.#valueFactor(job)
+      const sizeFactor = this.#sizeFactor(job)
       const outcome = this.#outcome(job)
       const counts = byKind.get(job.kind.name) as { jobs: number, withinObjective: number, late: number }
       counts.jobs++
       if (outcome !== 'not_served') counts[outcome]++
-      totalValue += job.kind.value * valueFactor
-      if (outcome === 'withinObjective') servedValue += job.kind.value * valueFactor
-      if (outcome === 'late') servedValue += job.kind.lateValue * valueFactor
+      totalValue += job.kind.value * sizeFactor
+      if (outcome === 'withinObjective') servedValue += job.kind.value * sizeFactor
+      if (outcome === 'late') servedValue += job.kind.lateValue * sizeFactor
     }
     return { byKind, servedValueShare: servedValue / totalValue, wastedCoreSeconds: this.#wastedCoreMs / 1_000 }
   }
@@ -220,15 +222,16 @@
     return tookMs <= objectiveMs * LATE_LIMIT_FACTOR ? 'late' : 'not_served'
   }
 
-  #valueFactor (job: SimulatedJob): number {
+  /** Factor on a job's value by its size, that is its run time times its tasks relative to the means of its kind. */
+  #sizeFactor (job: SimulatedJob): number {
     const meanWork = job.kind.meanRunMs * job.kind.meanTasks
     const factor = FIXED_VALUE_SHARE + (1 - FIXED_VALUE_SHARE) * job.runMs * job.step.taskCount / meanWork
-    return Math.min(MAX_VALUE_FACTOR, factor)
+    return Math.min(MAX_SIZE_FACTOR, factor)
   }
 }
 
 /** Time for the first heartbeat of every worker to arrive before the first job. */
-const WARM_UP_MS = 1_000
+const FIRST_HEARTBEATS_MS = 1_000
 
 function lostWorkMs ({ step }: SimulatedJob, run: SimulatedRun, atMs: number): number {
   const workedMs = atMs - (run.workStartedMs ?? run.startedMs)
--- a/packages/bench/src/batch-worker.ts
+++ b/packages/bench/src/batch-worker.ts
@@ -21,11 +21,13 @@
   abstract runEnded (worker: SimulatedWorker, run: SimulatedRun, reason: EndReason, atMs: number): void
 }
 
-/** Interval between heartbeats unless the leader sets another one. */
+/** Time from the response to a heartbeat until the next heartbeat, unless the leader sets another one. */
 const HEARTBEAT_INTERVAL_MS = 200
 /** Longest delay before the end of a run is reported. */
 const MAX_END_REPORT_DELAY_MS = 50
+/** Time from a stop order until the run has ended. */
 const STOP_DURATION_MS = 200
+/** Interval at which a run saves its progress. */
 const CHECKPOINT_INTERVAL_MS = 500
 
 /** One incarnation of a worker with 64 cores, 256 GB and 8 accelerators. */
@@ -111,6 +113,7 @@
   }
 }
 
+/** Returns the checkpoint of a run: the preserved work in milliseconds as text, empty for none. */
 function checkpointOf (run: SimulatedRun, nowMs: number): string {
   if (run.workStartedMs === undefined) return run.resumedWorkMs === 0 ? '' : String(run.resumedWorkMs)
   const doneMs = run.resumedWorkMs + nowMs - run.workStartedMs
--- a/packages/bench/src/capacity-cost.ts
+++ b/packages/bench/src/capacity-cost.ts
@@ -1,12 +1,13 @@
 /** Resource use of nodes: the difference between two readings of their status. */
 import { setTimeout as delay } from 'node:timers/promises'
 import type { StatusAnswer } from '@comfreygrade/cli'
-import type { CapacitySystem } from './capacity-system.js'
+import type { LocalCluster } from './capacity-system.js'
 
+/** The leader, any other control node (`voter`), or a node without a replica (`entry`), at the end of a measurement. */
 export type MeasuredRole = 'leader' | 'voter' | 'entry'
 
 /** Resource use of one node over a period. Bytes are frames between nodes, without TCP and IP headers. */
-export interface NodeCost {
+export interface ResourceUse {
   readonly role: MeasuredRole
   readonly sentBytesPerSecond: number
   readonly receivedBytesPerSecond: number
@@ -19,41 +20,42 @@
 const SENT_PREFIX = 'peer.sent_bytes'
 const RECEIVED_PREFIX = 'peer.received_bytes'
 /** Time before a measurement for the JIT to compile the code and for connections to be established. */
-const SETTLE_MS = 5_000
+const WARM_UP_MS = 5_000
 
 /** Measures every node while `work` runs, by readings right before and after it. */
-export async function measureCost (system: CapacitySystem, work: () => Promise<void>): Promise<NodeCost[]> {
-  const before = await system.statuses()
+export async function measureResourceUse (cluster: LocalCluster, work: () => Promise<void>): Promise<ResourceUse[]> {
+  const before = await cluster.statuses()
   await work()
-  const after = await system.statuses()
-  return after.map((status, index) => costBetween(before[index] ?? status, status))
+  const after = await cluster.statuses()
+  return after.map((status, index) => resourceUseBetween(before[index] ?? status, status))
 }
 
-export async function measureIdleCost (system: CapacitySystem, durationMs: number): Promise<NodeCost[]> {
-  await delay(SETTLE_MS)
-  return await measureCost(system, async () => { await delay(durationMs) })
+/** Measures the nodes without load, after a warm-up. */
+export async function measureIdleResourceUse (cluster: LocalCluster, durationMs: number): Promise<ResourceUse[]> {
+  await delay(WARM_UP_MS)
+  return await measureResourceUse(cluster, async () => { await delay(durationMs) })
 }
 
 /** Returns the mean over the nodes of one role; undefined if there are none. */
-export function meanOfRole (costs: readonly NodeCost[], role: MeasuredRole): NodeCost | undefined {
-  const chosen = costs.filter(cost => cost.role === role)
+export function meanOfRole (uses: readonly ResourceUse[], role: MeasuredRole): ResourceUse | undefined {
+  const chosen = uses.filter(use => use.role === role)
   if (chosen.length === 0) return undefined
-  const sum = (read: (cost: NodeCost) => number) => chosen.reduce((total, cost) => total + read(cost), 0)
-  const mean = (read: (cost: NodeCost) => number) => sum(read) / chosen.length
-  const messages = new Set(chosen.flatMap(cost => [...cost.sentBytesByMessage.keys()]))
+  const sum = (read: (use: ResourceUse) => number) => chosen.reduce((total, use) => total + read(use), 0)
+  const mean = (read: (use: ResourceUse) => number) => sum(read) / chosen.length
+  const messages = new Set(chosen.flatMap(use => [...use.sentBytesByMessage.keys()]))
   return {
     role,
-    sentBytesPerSecond: mean(cost => cost.sentBytesPerSecond),
-    receivedBytesPerSecond: mean(cost => cost.receivedBytesPerSecond),
+    sentBytesPerSecond: mean(use => use.sentBytesPerSecond),
+    receivedBytesPerSecond: mean(use => use.receivedBytesPerSecond),
     sentBytesByMessage: new Map([...messages].map(name =>
-      [name, mean(cost => cost.sentBytesByMessage.get(name) ?? 0)])),
-    corePercent: mean(cost => cost.corePercent),
-    residentMib: mean(cost => cost.residentMib)
+      [name, mean(use => use.sentBytesByMessage.get(name) ?? 0)])),
+    corePercent: mean(use => use.corePercent),
+    residentMib: mean(use => use.residentMib)
   }
 }
 
 /** Formats the bytes sent per second by kind of message, largest first. */
-export function formatSentBytes ({ sentBytesByMessage }: NodeCost): string {
+export function formatSentBytes ({ sentBytesByMessage }: ResourceUse): string {
   return [...sentBytesByMessage]
     .filter(([, bytes]) => bytes >= 1)
     .sort(([, left], [, right]) => right - left)
@@ -61,7 +63,7 @@
     .join(', ')
 }
 
-function costBetween (before: StatusAnswer, after: StatusAnswer): NodeCost {
+function resourceUseBetween (before: StatusAnswer, after: StatusAnswer): ResourceUse {
   const elapsedS = (after.uptimeMs - before.uptimeMs) / 1_000
   const rates = Object.entries(after.counters).map(([name, value]) =>
     [name, (value - (before.counters[name] ?? 0)) / elapsedS] as const)
@@ -73,6 +75,7 @@
     sentBytesPerSecond: sum(sent),
     receivedBytesPerSecond: sum(received),
     sentBytesByMessage: new Map(sent.map(([name, rate]) => [messageName(name), rate])),
+    // 10 ms of processor time per second are 1 % of a core.
     corePercent: (after.processorTimeMs - before.processorTimeMs) / elapsedS / 10,
     residentMib: after.residentMemoryBytes / MIB_BYTES
   }
@@ -83,7 +86,7 @@
   return replica.role === 'leader' ? 'leader' : 'voter'
 }
 
-/** The label with the kind of message is part of the counter's name. */
+/** Returns the kind of message, which is a label in the counter's name; the whole name if it has none. */
 function messageName (counter: string): string {
   return /message[=:]([a-z_]+)/.exec(counter)?.[1] ?? counter
 }
--- a/packages/bench/src/capacity-idle-bench.ts
+++ b/packages/bench/src/capacity-idle-bench.ts
@@ -1,6 +1,6 @@
-/** Resource use of idle nodes at several sizes of the system. */
-import { formatSentBytes, meanOfRole, measureIdleCost, type NodeCost } from './capacity-cost.js'
-import { CapacitySystem } from './capacity-system.js'
+/** Resource use of idle nodes at several sizes of the cluster. */
+import { formatSentBytes, meanOfRole, measureIdleResourceUse, type ResourceUse } from './capacity-cost.js'
+import { LocalCluster } from './capacity-system.js'
 import type { BenchTable } from './format.js'
 
 interface IdleSize { readonly nodes: number, readonly controlNodes: number }
@@ -19,26 +19,26 @@
 export async function run ({ quick }: { readonly quick: boolean }): Promise<BenchTable[]> {
   const rows: string[][] = []
   for (const size of quick ? SIZES.slice(0, 2) : SIZES) {
-    const costs = await measureSize(size, quick ? QUICK_DURATION_MS : DURATION_MS)
-    rows.push(...ROLES.flatMap(role => toRow(size, meanOfRole(costs, role))))
+    const uses = await measureSize(size, quick ? QUICK_DURATION_MS : DURATION_MS)
+    rows.push(...ROLES.flatMap(role => toRow(size, meanOfRole(uses, role))))
   }
   const columns = ['nodes, control nodes, role', 'sent B/s', 'received B/s', '% of a core', 'MiB', 'sent B/s by message']
   return [{ title: 'Idle nodes, mean of each role', columns, rows }]
 }
 
-async function measureSize (size: IdleSize, durationMs: number): Promise<NodeCost[]> {
-  const system = await CapacitySystem.start(size)
+async function measureSize (size: IdleSize, durationMs: number): Promise<ResourceUse[]> {
+  const cluster = await LocalCluster.start(size)
   try {
-    return await measureIdleCost(system, durationMs)
+    return await measureIdleResourceUse(cluster, durationMs)
   } finally {
-    await system.stop()
+    await cluster.stop()
   }
 }
 
-function toRow ({ nodes, controlNodes }: IdleSize, cost: NodeCost | undefined): string[][] {
-  if (cost === undefined) return []
-  const { role, sentBytesPerSecond, receivedBytesPerSecond, corePercent, residentMib } = cost
+function toRow ({ nodes, controlNodes }: IdleSize, use: ResourceUse | undefined): string[][] {
+  if (use === undefined) return []
+  const { role, sentBytesPerSecond, receivedBytesPerSecond, corePercent, residentMib } = use
   const bytes = [sentBytesPerSecond, receivedBytesPerSecond].map(value => value.toFixed(0))
   const name = `${nodes}, ${controlNodes}, ${role}`
-  return [[name, ...bytes, corePercent.toFixed(2), residentMib.toFixed(0), formatSentBytes(cost)]]
+  return [[name, ...bytes, corePercent.toFixed(2), residentMib.toFixed(0), formatSentBytes(use)]]
 }
--- a/packages/bench/src/capacity-inventory-bench.ts
+++ b/packages/bench/src/capacity-inventory-bench.ts
@@ -2,9 +2,9 @@
 import { performance } from 'node:perf_hooks'
 import { encodeFrame } from '@comfreygrade/node'
 import type { BenchTable } from './format.js'
-import { meanOfRole, measureIdleCost, type MeasuredRole, type NodeCost } from './capacity-cost.js'
-import { awaitVersion, capacityInventory, loadInventory, smallChange } from './capacity-inventory.js'
-import { CapacitySystem } from './capacity-system.js'
+import { meanOfRole, measureIdleResourceUse, type MeasuredRole, type ResourceUse } from './capacity-cost.js'
+import { awaitVersion, createInventory, loadInventory, createChange } from './capacity-inventory.js'
+import { LocalCluster } from './capacity-system.js'
 
 const SIZES = [0, 300, 3_000, 21_000]
 const QUICK_SIZES = [0, 300]
@@ -41,13 +41,13 @@
 }
 
 async function measureSize (workers: number) {
-  const system = await CapacitySystem.start({ nodes: 5, controlNodes: 3 })
+  const cluster = await LocalCluster.start({ nodes: 5, controlNodes: 3 })
   try {
-    const loadMs = await loadInventory(system, workers)
-    const idle = await measureIdleCost(system, IDLE_MS)
-    const restartMs = await measureRestartMs(system)
-    const organisation = await measureChanges(system, 'organisation')
-    const worker = workers === 0 ? undefined : await measureChanges(system, 'worker')
+    const loadMs = await loadInventory(cluster, workers)
+    const idle = await measureIdleResourceUse(cluster, IDLE_MS)
+    const restartMs = await measureRestartMs(cluster)
+    const organisation = await measureChanges(cluster, 'organisation')
+    const worker = workers === 0 ? undefined : await measureChanges(cluster, 'worker')
     const copy = measureFullCopy(workers)
     const figures = [
       loadMs, copy.bytes, copy.encodeMs, restartMs, organisation.acceptedMs, organisation.inForceMs,
@@ -55,36 +55,36 @@
     ]
     return { idle, times: figures.map(value => value?.toFixed(value < 100 ? 1 : 0) ?? '-') }
   } finally {
-    await system.stop()
+    await cluster.stop()
   }
 }
 
 /** Time from killing an entry node until its new process has the configuration and a configuration lease. */
-async function measureRestartMs (system: CapacitySystem): Promise<number> {
-  const last = (await system.statuses()).at(-1)
+async function measureRestartMs (cluster: LocalCluster): Promise<number> {
+  const last = (await cluster.statuses()).at(-1)
   const startedMs = performance.now()
-  await system.restart(last?.nodeId ?? '')
-  await awaitVersion(system, last?.configurationVersion ?? 0)
+  await cluster.restart(last?.nodeId ?? '')
+  await awaitVersion(cluster, last?.configurationVersion ?? 0)
   return performance.now() - startedMs
 }
 
-async function measureChanges (system: CapacitySystem, kind: 'organisation' | 'worker'): Promise<ChangeTimes> {
-  const client = system.client(4)
+async function measureChanges (cluster: LocalCluster, kind: 'organisation' | 'worker'): Promise<ChangeTimes> {
+  const client = cluster.client(4)
   const accepted: number[] = []
   const inForce: number[] = []
   for (let count = 0; count < CHANGES; count += 1) {
-    const version = await currentVersion(system)
+    const version = await currentVersion(cluster)
     const startedMs = performance.now()
-    const answer = await client.applyChange(smallChange(version, kind))
+    const answer = await client.applyChange(createChange(version, kind))
     accepted.push(performance.now() - startedMs)
-    await awaitVersion(system, answer.version)
+    await awaitVersion(cluster, answer.version)
     inForce.push(performance.now() - startedMs)
   }
   return { acceptedMs: median(accepted), inForceMs: median(inForce) }
 }
 
-async function currentVersion (system: CapacitySystem): Promise<number> {
-  const statuses = await system.statuses()
+async function currentVersion (cluster: LocalCluster): Promise<number> {
+  const statuses = await cluster.statuses()
   return Math.max(...statuses.map(status => status.configurationVersion))
 }
 
@@ -94,7 +94,7 @@
     kind: 'feed',
     term: 1,
     leaderNodeId: 'montevideo-1',
-    content: { kind: 'full', version: 1, document: capacityInventory(workers) },
+    content: { kind: 'full', version: 1, document: createInventory(workers) },
     drains: [],
     requestSentAtMs: 1.5,
     leaseMs: 5_000
@@ -102,9 +102,9 @@
   return { bytes: frame.length, encodeMs: performance.now() - startedMs }
 }
 
-function memoryCells (costs: readonly NodeCost[], role: MeasuredRole): string[] {
-  const cost = meanOfRole(costs, role)
-  return [cost?.residentMib.toFixed(0) ?? '-', cost?.corePercent.toFixed(2) ?? '-']
+function memoryCells (uses: readonly ResourceUse[], role: MeasuredRole): string[] {
+  const use = meanOfRole(uses, role)
+  return [use?.residentMib.toFixed(0) ?? '-', use?.corePercent.toFixed(2) ?? '-']
 }
 
 function median (values: readonly number[]): number {
--- a/packages/bench/src/capacity-system.ts
+++ b/packages/bench/src/capacity-system.ts
@@ -1,4 +1,4 @@
-/** Starts node processes on the loopback interface for measurements of their resource use. */
+/** A cluster of node processes on the loopback interface, for measurements of their resource use. */
 import { mkdir, mkdtemp, rm, writeFile } from 'node:fs/promises'
 import { tmpdir } from 'node:os'
 import { join } from 'node:path'
@@ -10,7 +10,7 @@
 const READY_TIMEOUT_MS = 30_000
 const CALL_TIMEOUT_MS = 30_000
 
-export interface CapacitySystemOptions {
+export interface LocalClusterOptions {
   readonly nodes: number
   /** Number of nodes with the control role; these come first. */
   readonly controlNodes: number
@@ -25,7 +25,7 @@
 }
 
 /** Node processes that differ only in their roles. */
-export class CapacitySystem {
+export class LocalCluster {
   readonly #folder: string
   readonly #nodes: readonly MeasuredNode[]
   readonly #clients = new Map<string, NodeClient>()
@@ -44,21 +44,21 @@
    * Starts the processes and waits until every node has a configuration lease.
    *
    * @example
-   * const system = await CapacitySystem.start({ nodes: 5, controlNodes: 3 })
-   * const statuses = await system.statuses()
-   * await system.stop()
+   * const cluster = await LocalCluster.start({ nodes: 5, controlNodes: 3 })
+   * const statuses = await cluster.statuses()
+   * await cluster.stop()
    */
-  static async start (options: CapacitySystemOptions): Promise<CapacitySystem> {
+  static async start (options: LocalClusterOptions): Promise<LocalCluster> {
     const folder = await mkdtemp(join(tmpdir(), 'comfreygrade-capacity-'))
-    const nodes = await chooseNodes(options)
+    const nodes = await describeNodes(options)
     await Promise.all(nodes.map(async node => { await writeSettings(folder, node, nodes) }))
-    const system = new CapacitySystem(folder, nodes)
+    const cluster = new LocalCluster(folder, nodes)
     try {
-      await Promise.all([...system.#processes.values()].map(async node => { await node.ready(READY_TIMEOUT_MS) }))
-      await system.#awaitLeases()
-      return system
+      await Promise.all([...cluster.#processes.values()].map(async node => { await node.ready(READY_TIMEOUT_MS) }))
+      await cluster.#awaitLeases()
+      return cluster
     } catch (error) {
-      await system.stop()
+      await cluster.stop()
       throw error
     }
   }
@@ -68,9 +68,9 @@
     return this.#nodes.map(({ address }) => address)
   }
 
-  /** Returns the client of the node at this index. */
-  client (position: number): NodeClient {
-    return this.#clientOf(this.#nodes[position]?.nodeId ?? '')
+  /** Returns the client of the node at this index; control nodes have the lowest indexes. */
+  client (index: number): NodeClient {
+    return this.#clientOf(this.#nodes[index]?.nodeId ?? '')
   }
 
   async statuses (): Promise<StatusAnswer[]> {
@@ -92,7 +92,7 @@
   }
 
   async #awaitLeases (): Promise<void> {
-    await waitFor('every node to have a lease', READY_TIMEOUT_MS, async () => {
+    await waitFor('every node to have a configuration lease', READY_TIMEOUT_MS, async () => {
       const statuses = await this.statuses()
       return statuses.every(status => status.hasConfigurationLease) ? true : undefined
     })
@@ -110,7 +110,7 @@
   }
 }
 
-async function chooseNodes ({ nodes, controlNodes }: CapacitySystemOptions): Promise<MeasuredNode[]> {
+async function describeNodes ({ nodes, controlNodes }: LocalClusterOptions): Promise<MeasuredNode[]> {
   const ports = await findFreePorts(nodes * 2)
   return Array.from({ length: nodes }, (_, index) => {
     const [httpPort, peerPort] = [ports[index * 2] ?? 0, ports[index * 2 + 1] ?? 0]
--- a/packages/bench/src/capacity-workers-bench.ts
+++ b/packages/bench/src/capacity-workers-bench.ts
@@ -4,12 +4,12 @@
 import { setTimeout as delay } from 'node:timers/promises'
 import { encodeFrame } from '@comfreygrade/node'
 import type { BenchTable } from './format.js'
-import { meanOfRole, measureCost, measureIdleCost, type MeasuredRole, type NodeCost } from './capacity-cost.js'
+import { meanOfRole, measureResourceUse, measureIdleResourceUse, type MeasuredRole, type ResourceUse } from './capacity-cost.js'
 import { loadInventory } from './capacity-inventory.js'
-import { CapacitySystem } from './capacity-system.js'
+import { LocalCluster } from './capacity-system.js'
 
-const WORKERS = [30, 100, 300, 1_000]
-const QUICK_WORKERS = [30]
+const WORKER_COUNTS = [30, 100, 300, 1_000]
+const QUICK_WORKER_COUNTS = [30]
 /** Workers with a lease of 30 s report every 10 s; a shorter interval gives enough reports in a short run. */
 const REPORT_INTERVAL_MS = 2_000
 const DURATION_MS = 15_000
@@ -17,6 +17,9 @@
 const IDLE_MS = 10_000
 const TASKS_PER_WORKER = 5
 
+/**
+ * Requests by result (`answered`: status 200, `failed`: any other status or none), and bytes as the workers see them.
+ */
 interface WorkerTraffic {
   readonly answered: number
   readonly failed: number
@@ -83,42 +86,45 @@
 
 /** Measures 5 nodes; the workers report to the 2 nodes without the control role. */
 export async function run ({ quick }: { readonly quick: boolean }): Promise<BenchTable[]> {
-  const sizes = quick ? QUICK_WORKERS : WORKERS
-  const system = await CapacitySystem.start({ nodes: 5, controlNodes: 3 })
+  const sizes = quick ? QUICK_WORKER_COUNTS : WORKER_COUNTS
+  const cluster = await LocalCluster.start({ nodes: 5, controlNodes: 3 })
   try {
-    await loadInventory(system, Math.max(...sizes))
-    const idle = await measureIdleCost(system, IDLE_MS)
+    await loadInventory(cluster, Math.max(...sizes))
+    const idle = await measureIdleResourceUse(cluster, IDLE_MS)
     const rows: string[][] = []
-    for (const workers of sizes) rows.push(await measureWorkers(system, workers, idle))
+    for (const workers of sizes) rows.push(await measureWorkers(cluster, workers, idle))
     return [reportTable(rows), frameTable()]
   } finally {
-    await system.stop()
+    await cluster.stop()
   }
 }
 
-async function measureWorkers (system: CapacitySystem, workers: number, idle: readonly NodeCost[]): Promise<string[]> {
-  const reportingWorkers = new ReportingWorkers(system.addresses.slice(3))
+async function measureWorkers (
+  cluster: LocalCluster, workers: number, idle: readonly ResourceUse[]
+): Promise<string[]> {
+  const reportingWorkers = new ReportingWorkers(cluster.addresses.slice(3))
   reportingWorkers.start(workers)
   await delay(WARM_UP_MS)
   const before = reportingWorkers.traffic
-  const costs = await measureCost(system, async () => { await delay(DURATION_MS) })
+  const uses = await measureResourceUse(cluster, async () => { await delay(DURATION_MS) })
   const after = reportingWorkers.traffic
   reportingWorkers.stop()
   const answered = after.answered - before.answered
   const perSecond = answered * 1_000 / DURATION_MS
   const microsPerReport = (role: MeasuredRole, nodes: number) => {
-    const percent = (meanOfRole(costs, role)?.corePercent ?? 0) - (meanOfRole(idle, role)?.corePercent ?? 0)
+    const percent = (meanOfRole(uses, role)?.corePercent ?? 0) - (meanOfRole(idle, role)?.corePercent ?? 0)
+    // 1 % of a core is 10,000 us per second.
     return (percent * nodes * 10_000 / perSecond).toFixed(0)
   }
   const sentBytesPerReport = (role: MeasuredRole, nodes: number) => {
-    const bytes = (meanOfRole(costs, role)?.sentBytesPerSecond ?? 0) - (meanOfRole(idle, role)?.sentBytesPerSecond ?? 0)
+    const bytes = (meanOfRole(uses, role)?.sentBytesPerSecond ?? 0) - (meanOfRole(idle, role)?.sentBytesPerSecond ?? 0)
     return (bytes * nodes / perSecond).toFixed(0)
   }
   return [
     String(workers),
     perSecond.toFixed(1),
     String(after.failed - before.failed),
-    ...(['leader', 'voter', 'entry'] as const).map(role => meanOfRole(costs, role)?.corePercent.toFixed(2) ?? '-'),
+    ...(['leader', 'voter', 'entry'] as const).map(role => meanOfRole(uses, role)?.corePercent.toFixed(2) ?? '-'),
     microsPerReport('entry', 2),
     microsPerReport('leader', 1),
     ((after.sentBytes - before.sentBytes) / answered).toFixed(0),
@@ -128,6 +134,10 @@
   ]
 }
 
+/**
+ * "HTTP in" and "HTTP out" are seen from the nodes. The columns per report are above the idle cluster, except for HTTP;
+ * "entry to leader" is all that the 2 entry nodes send to any node.
+ */
 function reportTable (rows: string[][]): BenchTable {
   return {
     title: `Reports of workers without tasks, one each ${REPORT_INTERVAL_MS} ms, through 2 of 5 nodes`,
--- a/packages/bench/src/consensus-adapters.ts
+++ b/packages/bench/src/consensus-adapters.ts
@@ -1,4 +1,7 @@
-/** Storage and encoding that the consensus benchmark measures, apart from their implementation in the node package. */
+/**
+ * Interface to the storage and encoding that the consensus benchmark measures; `NodeAdapters` implements it as in a
+ * node.
+ */
 import type { ConsensusMessage, LogStorage } from '@comfreygrade/consensus'
 
 /** A command of about the size of a claim. */
--- a/packages/bench/src/consensus-bench.ts
+++ b/packages/bench/src/consensus-bench.ts
@@ -21,7 +21,7 @@
 const MICROS_PER_MS = 1_000
 
 /** Throughput and latency of commits with a constant number of proposals in flight. */
-export interface CommitFigures {
+export interface CommitMeasures {
   readonly replicas: number
   readonly inFlight: number
   readonly commitsPerSecond: number
@@ -30,28 +30,28 @@
 }
 
 /** Time without a leader that can commit after the leader was killed, over several seeds. */
-export interface FailoverFigures {
+export interface FailoverMeasures {
   readonly replicas: number
   readonly medianMs: number
   readonly maxMs: number
 }
 
 /** Time from opening the log until the replica has taken its first step. */
-export interface RestartFigures {
-  readonly withSnapshot: boolean
+export interface RestartMeasures {
+  readonly hasSnapshot: boolean
   readonly restartMs: number
 }
 
 /** Traffic between a leader and a follower without proposals, in both directions together. */
-export interface IdleFigures {
+export interface IdleMeasures {
   readonly bytesPerSecond: number
 }
 
 export interface ConsensusBenchReport {
-  readonly commits: readonly CommitFigures[]
-  readonly failover: readonly FailoverFigures[]
-  readonly restart: readonly RestartFigures[]
-  readonly idle: IdleFigures
+  readonly commits: readonly CommitMeasures[]
+  readonly failover: readonly FailoverMeasures[]
+  readonly restart: readonly RestartMeasures[]
+  readonly idle: IdleMeasures
 }
 
 /**
@@ -101,7 +101,7 @@
     {
       title: `Restart with ${RESTART_ENTRIES} entries`,
       columns: ['snapshot', 'ms'],
-      rows: restart.map(({ withSnapshot, restartMs }) => [withSnapshot ? 'yes' : 'no', restartMs.toFixed(1)])
+      rows: restart.map(({ hasSnapshot, restartMs }) => [hasSnapshot ? 'yes' : 'no', restartMs.toFixed(1)])
     },
     {
       title: 'Idle leader and one follower, both directions',
@@ -113,17 +113,17 @@
 
 async function measureCommits (
   folder: string, replicas: number, adapters: ConsensusBenchAdapters
-): Promise<CommitFigures[]> {
+): Promise<CommitMeasures[]> {
   const cluster = await BenchCluster.start(folder, replicas, adapters)
-  const figures: CommitFigures[] = []
+  const measures: CommitMeasures[] = []
   for (const inFlight of [1, 64, 1_024]) {
-    figures.push(toCommitFigures(replicas, inFlight, await cluster.measure(inFlight, MEASUREMENT_MS)))
+    measures.push(toCommitMeasures(replicas, inFlight, await cluster.measure(inFlight, MEASUREMENT_MS)))
   }
   await cluster.stop()
-  return figures
+  return measures
 }
 
-function toCommitFigures (replicas: number, inFlight: number, latenciesMs: readonly number[]): CommitFigures {
+function toCommitMeasures (replicas: number, inFlight: number, latenciesMs: readonly number[]): CommitMeasures {
   const histogram = build()
   for (const latencyMs of latenciesMs) histogram.recordValue(Math.round(latencyMs * MICROS_PER_MS))
   return {
@@ -135,12 +135,13 @@
   }
 }
 
-function measureFailovers (replicas: number): FailoverFigures {
+function measureFailovers (replicas: number): FailoverMeasures {
   const timesMs = Array.from({ length: FAILOVER_SEEDS }, (_, seed) => measureFailoverMs(replicas, seed + 1))
   timesMs.sort((a, b) => a - b)
   return { replicas, medianMs: timesMs[FAILOVER_SEEDS / 2] ?? 0, maxMs: timesMs.at(-1) ?? 0 }
 }
 
+/** Returns simulated time, which is independent of the speed of the machine ("Model time" in the table). */
 function measureFailoverMs (replicas: number, seed: number): number {
   const simulation = new ClusterSimulation(replicas, seed)
   simulation.runUntilLeader()
@@ -150,10 +151,10 @@
 }
 
 async function measureRestart (
-  folder: string, withSnapshot: boolean, adapters: ConsensusBenchAdapters
-): Promise<RestartFigures> {
+  folder: string, hasSnapshot: boolean, adapters: ConsensusBenchAdapters
+): Promise<RestartMeasures> {
   const id = { nodeId: 'n0', diskId: 'd' }
-  await writeLog(folder, id, withSnapshot, adapters)
+  await writeLog(folder, id, hasSnapshot, adapters)
   const startedMs = performance.now()
   const storage = adapters.openLog(folder)
   const recovered = await storage.recover()
@@ -161,11 +162,11 @@
   replica.step({ kind: 'tick' }, performance.now())
   const restartMs = performance.now() - startedMs
   await storage.close()
-  return { withSnapshot, restartMs }
+  return { hasSnapshot, restartMs }
 }
 
 async function writeLog (
-  folder: string, id: VoterId, withSnapshot: boolean, adapters: ConsensusBenchAdapters
+  folder: string, id: VoterId, hasSnapshot: boolean, adapters: ConsensusBenchAdapters
 ): Promise<void> {
   const storage = adapters.openLog(folder)
   await storage.recover()
@@ -175,7 +176,7 @@
     const batch = Array.from({ length: RESTART_BATCH_ENTRIES }, (_, offset) => createEntry(first + offset))
     await storage.persist({ kind: 'persist', persistId: first, entries: batch })
   }
-  if (withSnapshot) await storage.saveSnapshot(createSnapshot(id))
+  if (hasSnapshot) await storage.saveSnapshot(createSnapshot(id))
   await storage.close()
 }
 
@@ -189,7 +190,7 @@
   return { lastIndex: RESTART_ENTRIES, lastTerm: 1, logTimeMs: 0, voters: [id], outgoingVoters: [], content }
 }
 
-function measureIdle (adapters: ConsensusBenchAdapters): IdleFigures {
+function measureIdle (adapters: ConsensusBenchAdapters): IdleMeasures {
   let totalBytes = 0
   const simulation = new ClusterSimulation(2, 1, (_from, _to, message) => {
     totalBytes += adapters.encode(message).byteLength
--- a/packages/bench/src/consensus-cluster.ts
+++ b/packages/bench/src/consensus-cluster.ts
@@ -9,6 +9,7 @@
 import { createBenchCommand, type BenchCommand, type ConsensusBenchAdapters } from './consensus-adapters.js'
 
 const REGIONS = 3
+/** One-way delays. */
 const SAME_REGION_DELAY_MS = 1
 const CROSS_REGION_DELAY_MS = 12
 
@@ -126,7 +127,10 @@
     this.#leader?.step({ kind: 'propose', proposalId, command: createBenchCommand(this.#proposalCount++) })
   }
 
-  /** Keeps `inFlight` proposals in flight for `durationMs` and returns the latency of each commit. */
+  /**
+   * Keeps `inFlight` proposals in flight for `durationMs` and returns the latency of each commit, including those
+   * within 500 ms after it.
+   */
   async measure (inFlight: number, durationMs: number): Promise<number[]> {
     const latenciesMs: number[] = []
     const endMs = performance.now() + durationMs
--- a/packages/bench/src/control-bench.ts
+++ b/packages/bench/src/control-bench.ts
@@ -1,4 +1,7 @@
-/** Benchmark of the control state and the control leader at the size planned for two years from now. */
+/**
+ * Benchmark of the control state and the control leader at the planned size of 21,000 workers and 100,000 running
+ * tasks.
+ */
 import { performance } from 'node:perf_hooks'
 import { serialize, setFlagsFromString } from 'node:v8'
 import { runInNewContext } from 'node:vm'
@@ -7,12 +10,12 @@
   ControlLeader, ControlState, defaultControlSettings, type ControlCommand, type ControlEffect
 } from '@comfreygrade/control'
 import {
-  buildLargeLog, largeJob, largePlacement, largeReport, largeWorkerState, NoOpScheduler, RUNNING_TASKS,
-  START_LOG_TIME_MS, stateOptions, WORKERS, type LargeLog
+  buildAppliedState, benchJob, benchPlacement, benchReport, activateWorkerCommand, NoOpScheduler, RUNNING_TASKS,
+  START_LOG_TIME_MS, stateOptions, WORKERS, type AppliedState
 } from './control-load.js'
 import type { BenchTable } from './format.js'
 
-export interface BenchFigure {
+export interface ControlMeasure {
   readonly name: string
   readonly value: number
   readonly unit: string
@@ -31,32 +34,32 @@
  * @example
  * for (const { name, value, unit } of runControlBench()) console.log(name, value.toFixed(1), unit)
  */
-export function runControlBench (): BenchFigure[] {
+export function runControlBench (): ControlMeasure[] {
   const emptyBytes = usedMemoryBytes()
-  const log = buildLargeLog()
+  const applied = buildAppliedState()
   const stateBytes = usedMemoryBytes() - emptyBytes
   return [
     { name: 'state in memory', value: stateBytes / MIB_BYTES, unit: 'MiB' },
-    ...measureSnapshot(log.state),
-    ...measureLeader(log),
-    ...measureCommands(log),
-    ...measureChanges(log),
-    ...measureClaims(log)
+    ...measureSnapshot(applied.state),
+    ...measureLeader(applied),
+    ...measureCommands(applied),
+    ...measureChanges(applied),
+    ...measureClaims(applied)
   ]
 }
 
-/** Prints the figures of `runControlBench`, one per line. */
+/** Prints the measures of `runControlBench`, one per line. */
 export function printControlBench (): void {
   for (const { name, value, unit } of runControlBench()) console.log(`${name.padEnd(58)}${value.toFixed(2).padStart(12)} ${unit}`)
 }
 
-/** Returns the figures of `runControlBench` as a table. The sizes do not depend on `quick`. */
+/** Returns the measures of `runControlBench` as a table. The sizes do not depend on `quick`. */
 export async function run (): Promise<BenchTable[]> {
   const rows = runControlBench().map(({ name, value, unit }) => [name, value.toFixed(2), unit])
   return [{ title: `Control state and leader, ${WORKERS} workers, ${RUNNING_TASKS} tasks`, columns: ['figure', 'value', 'unit'], rows }]
 }
 
-function measureSnapshot (state: ControlState): BenchFigure[] {
+function measureSnapshot (state: ControlState): ControlMeasure[] {
   const [snapshot, snapshotMs] = timeCall(() => state.snapshot())
   const [encoded, encodeMs] = timeCall(() => serialize(snapshot))
   const [, restoreMs] = timeCall(() => ControlState.restore(snapshot, stateOptions))
@@ -68,26 +71,28 @@
   ]
 }
 
-function measureLeader (log: LargeLog): BenchFigure[] {
+function measureLeader (applied: AppliedState): ControlMeasure[] {
   const before = usedMemoryBytes()
-  const leader = newLeader(log.state)
+  const leader = newLeader(applied.state)
   const [, startMs] = timeCall(() => leader.handle({ kind: 'tick' }, 0))
   const leaderBytes = usedMemoryBytes() - before
-  commitFirstProposal(log, leader, 1)
-  const perReportUs = measureReports(log, leader)
+  commitFirstProposal(applied, leader, 1)
+  const perReportUs = measureReports(applied, leader)
   return [
     { name: 'leader, start of a term', value: startMs, unit: 'ms' },
     { name: 'leader, memory besides the state', value: leaderBytes / MIB_BYTES, unit: 'MiB' },
     { name: `report of a worker with ${RUNNING_TASKS / WORKERS | 0} to 5 tasks`, value: perReportUs, unit: 'us' },
     {
       name: `${WORKERS} workers reporting each ${REPORT_INTERVAL_S} s`,
+      // 10,000 us per second are 1 % of a core.
       value: perReportUs * WORKERS / REPORT_INTERVAL_S / 10_000,
       unit: '% of a core'
     },
-    measureLeaderChange(log, leader)
+    measureLeaderChange(applied, leader)
   ]
 }
 
+/** Its proof of leadership does not expire, so that only the first report needs a commit. */
 function newLeader (state: ControlState): ControlLeader {
   return new ControlLeader({
     term: 1,
@@ -100,26 +105,27 @@
 }
 
 /** Commits one proposal of the leader's term; after it, the leader answers reports at once. */
-function commitFirstProposal (log: LargeLog, leader: ControlLeader, nowMs: number): void {
-  const report = largeReport(log.state, 0, 1)
+function commitFirstProposal (applied: AppliedState, leader: ControlLeader, nowMs: number): void {
+  const report = benchReport(applied.state, 0, 1)
   const operation = { kind: 'report_worker' as const, report }
-  commitProposals(log, leader, leader.handle({ kind: 'operation', requestId: 'proof', operation }, nowMs), nowMs)
+  commitProposals(applied, leader, leader.handle({ kind: 'operation', requestId: 'proof', operation }, nowMs), nowMs)
 }
 
 function commitProposals (
-  log: LargeLog, leader: ControlLeader, effects: readonly ControlEffect[], nowMs: number
+  applied: AppliedState, leader: ControlLeader, effects: readonly ControlEffect[], nowMs: number
 ): void {
   for (const effect of effects) {
     if (effect.kind !== 'propose') continue
     const { proposalId, command } = effect
-    const result = log.apply(command)
-    leader.handle({ kind: 'applied', proposalId, index: log.index, command, result }, nowMs)
+    const result = applied.apply(command)
+    leader.handle({ kind: 'applied', proposalId, index: applied.index, command, result }, nowMs)
   }
 }
 
-function measureReports (log: LargeLog, leader: ControlLeader): number {
+/** Returns the mean time per report in the fastest of three rounds, as the least disturbed one. */
+function measureReports (applied: AppliedState, leader: ControlLeader): number {
   const rounds = [2, 3, 4].map(sequence =>
-    Array.from({ length: WORKERS }, (_, worker) => largeReport(log.state, worker, sequence)))
+    Array.from({ length: WORKERS }, (_, worker) => benchReport(applied.state, worker, sequence)))
   const times = rounds.map((reports, round) => {
     const [, elapsedMs] = timeCall(() => {
       for (const report of reports) {
@@ -133,31 +139,32 @@
 }
 
 /** Measures the time from an operator's change to its response, including one commit. */
-function measureLeaderChange (log: LargeLog, leader: ControlLeader): BenchFigure {
-  const { version } = log.state.configuration
+function measureLeaderChange (applied: AppliedState, leader: ControlLeader): ControlMeasure {
+  const { version } = applied.state.configuration
   const changes = Array.from({ length: CHANGE_SAMPLES }, (_, offset) => workerChange(version + offset))
   const [, elapsedMs] = timeCall(() => {
     for (const change of changes) {
       const operation = { kind: 'apply_change' as const, change, isDryRun: false }
-      commitProposals(log, leader, leader.handle({ kind: 'operation', requestId: 'change', operation }, 10), 10)
+      commitProposals(applied, leader, leader.handle({ kind: 'operation', requestId: 'change', operation }, 10), 10)
     }
   })
   return { name: 'leader, change of one worker', value: elapsedMs / CHANGE_SAMPLES, unit: 'ms' }
 }
 
-function measureCommands (log: LargeLog): BenchFigure[] {
-  // Job numbers after those of the running gangs, whose accelerators are still free.
+function measureCommands (applied: AppliedState): ControlMeasure[] {
+  // Numbers after those of the running gangs; `benchPlacement` puts these jobs on accelerators that are still free.
+  // There is room for 625 such gangs.
   const first = RUNNING_TASKS / 8
   const numbers = Array.from({ length: 600 }, (_, offset) => first + offset)
   const leases = new Map<number, number>()
   const leaseOf = (number: number): number => leases.get(number) ?? 0
-  const id = (number: number): string => largeJob(number).jobId
-  const measure = (make: (number: number) => ControlCommand): BenchFigure[] =>
-    measureCommandKind(log, numbers.map(make))
-  const place = measure(number => ({ kind: 'submit_job', spec: largeJob(number) })).concat(
-    measureCommandKind(log, numbers.map(number => {
-      leases.set(number, log.index + 1 + number - first)
-      return { kind: 'place_job', jobId: id(number), placement: largePlacement(number) }
+  const id = (number: number): string => benchJob(number).jobId
+  const measure = (make: (number: number) => ControlCommand): ControlMeasure[] =>
+    measureCommandKind(applied, numbers.map(make))
+  const place = measure(number => ({ kind: 'submit_job', spec: benchJob(number) })).concat(
+    measureCommandKind(applied, numbers.map(number => {
+      leases.set(number, applied.index + 1 + number - first)
+      return { kind: 'place_job', jobId: id(number), placement: benchPlacement(number) }
     })))
   return [
     ...place,
@@ -173,25 +180,25 @@
     })),
     ...measure(number => ({ kind: 'requeue_job', jobId: id(number), leaseId: leaseOf(number), reason: 'task 3 failed' })),
     ...measure(number => ({ kind: 'end_job', jobId: id(number), leaseId: 0, outcome: 'cancelled', reason: 'cancelled' })),
-    ...measureCommandKind(log, Array.from({ length: SAMPLES }, (_, worker) => largeWorkerState(worker, 2))),
-    ...measureCommandKind(log, Array.from({ length: SAMPLES }, (_, worker): ControlCommand =>
+    ...measureCommandKind(applied, Array.from({ length: SAMPLES }, (_, worker) => activateWorkerCommand(worker, 2))),
+    ...measureCommandKind(applied, Array.from({ length: SAMPLES }, (_, worker): ControlCommand =>
       ({ kind: 'set_drain', drain: { kind: 'worker', id: `worker-${worker}` }, isDraining: true }))),
-    ...measureCommandKind(log, Array.from({ length: SAMPLES }, (): ControlCommand => ({ kind: 'clock' })))
+    ...measureCommandKind(applied, Array.from({ length: SAMPLES }, (): ControlCommand => ({ kind: 'clock' })))
   ]
 }
 
-function measureChanges (log: LargeLog): BenchFigure[] {
-  const { version } = log.state.configuration
+function measureChanges (applied: AppliedState): ControlMeasure[] {
+  const { version } = applied.state.configuration
   const organisations = Array.from({ length: CHANGE_SAMPLES }, (_, offset) => organisationChange(version + offset))
   const workers = Array.from({ length: CHANGE_SAMPLES }, (_, offset) => workerChange(version + CHANGE_SAMPLES + offset))
   const toCommand = (change: ConfigurationChange): ControlCommand => ({ kind: 'apply_configuration', change })
   return [
-    ...measureCommandKind(log, organisations.map(toCommand), 'apply_configuration, one organisation'),
-    ...measureCommandKind(log, workers.map(toCommand), `apply_configuration, one of ${WORKERS} workers`)
+    ...measureCommandKind(applied, organisations.map(toCommand), 'apply_configuration, one organisation'),
+    ...measureCommandKind(applied, workers.map(toCommand), `apply_configuration, one of ${WORKERS} workers`)
   ]
 }
 
-function measureClaims (log: LargeLog): BenchFigure[] {
+function measureClaims (applied: AppliedState): ControlMeasure[] {
   const before = usedMemoryBytes()
   const keys = Array.from({ length: CLAIMS }, (_, number) => claimKey(number))
   const organisationId = 'organisation-1'
@@ -199,15 +206,17 @@
   const claims = keys.map((key): ControlCommand => ({ kind: 'claim_request', organisationId, key, digest, claimantId: 'a' }))
   const settles = keys.map((key): ControlCommand =>
     ({ kind: 'settle_claim', organisationId, key, claimantId: 'a', state: 'completed', answer: null }))
-  const figures = [...measureCommandKind(log, claims), ...measureCommandKind(log, settles)]
+  const measures = [...measureCommandKind(applied, claims), ...measureCommandKind(applied, settles)]
   const bytes = (usedMemoryBytes() - before) / CLAIMS
-  return [...figures, { name: 'claim in memory, with its two commands', value: bytes, unit: 'bytes' }]
+  return [...measures, { name: 'claim in memory, with its two commands', value: bytes, unit: 'bytes' }]
 }
 
-function measureCommandKind (log: LargeLog, commands: readonly ControlCommand[], label?: string): BenchFigure[] {
+function measureCommandKind (
+  applied: AppliedState, commands: readonly ControlCommand[], label?: string
+): ControlMeasure[] {
   const name = label ?? commands[0]?.kind ?? 'none'
   const bytes = JSON.stringify(commands).length / commands.length
-  const [, elapsedMs] = timeCall(() => { for (const command of commands) log.apply(command) })
+  const [, elapsedMs] = timeCall(() => { for (const command of commands) applied.apply(command) })
   return [
     { name: `${name}, size as JSON`, value: bytes, unit: 'bytes' },
     { name: `${name}, apply`, value: elapsedMs * 1_000 / commands.length, unit: 'us' }
--- a/packages/bench/src/control-load.ts
+++ b/packages/bench/src/control-load.ts
@@ -1,4 +1,4 @@
-/** Builds a control state of the size planned for two years from now. */
+/** Builds a control state of the planned size: 21,000 workers, 100,000 running tasks and 35,000 jobs per day. */
 import {
   defaultRules, diffDocument, emptyConfiguration, type ConfigurationDocument, type Failure, type JobExplanation,
   type JobSpec, type Placement, type WorkerReport
@@ -19,7 +19,7 @@
 const ACCELERATORS_PER_WORKER = 5
 export const START_LOG_TIME_MS = 1_800_000_000_000
 
-/** Accepts every set of guarantees, as the validation of the placement package is not measured here. */
+/** Accepts every set of guarantees, as their validation belongs to the placement package and is not measured here. */
 class AcceptingValidator extends GuaranteeValidator {
   override validate (): Failure | undefined {
     return undefined
@@ -53,7 +53,7 @@
 }
 
 /** Returns an inventory of `WORKERS` workers and 830 organisations. */
-export function largeInventory (): ConfigurationDocument {
+export function benchInventory (): ConfigurationDocument {
   const racks = Math.ceil(WORKERS / WORKERS_PER_RACK)
   return {
     racks: Array.from({ length: racks }, (_, rack) =>
@@ -75,7 +75,7 @@
 }
 
 /** Returns the specification of a gang of eight tasks. */
-export function largeJob (number: number): JobSpec {
+export function benchJob (number: number): JobSpec {
   return {
     jobId: `01890000-0000-7000-8000-${number.toString(16).padStart(12, '0')}`,
     organisationId: `organisation-${number % ORGANISATIONS}`,
@@ -92,8 +92,10 @@
   }
 }
 
-/** Returns a placement on accelerators chosen by the job's number; no two numbers below the fleet's size overlap. */
-export function largePlacement (number: number): Placement {
+/**
+ * Returns a placement on accelerators chosen by the job's number; numbers below 13,125 (105,000 / 8) do not overlap.
+ */
+export function benchPlacement (number: number): Placement {
   const tasks = Array.from({ length: GANG_TASKS }, (_, taskIndex) => {
     const accelerator = number * GANG_TASKS + taskIndex
     return {
@@ -107,7 +109,7 @@
 }
 
 /** Applies commands to a control state at consecutive log indexes, in place of a replicated log. */
-export class LargeLog {
+export class AppliedState {
   readonly state = new ControlState(stateOptions)
   #index = 0
 
@@ -125,9 +127,9 @@
 
   /** Submits, places and starts a job; returns its lease ID. */
   runJob (number: number): number {
-    const { jobId } = largeJob(number)
-    this.apply({ kind: 'submit_job', spec: largeJob(number) })
-    this.apply({ kind: 'place_job', jobId, placement: largePlacement(number) })
+    const { jobId } = benchJob(number)
+    this.apply({ kind: 'submit_job', spec: benchJob(number) })
+    this.apply({ kind: 'place_job', jobId, placement: benchPlacement(number) })
     const leaseId = this.#index
     this.apply({ kind: 'start_job', jobId, leaseId })
     this.apply({ kind: 'job_running', jobId, leaseId })
@@ -136,27 +138,27 @@
 }
 
 /** Builds a state with all workers active, `RUNNING_TASKS` tasks running, and the ended jobs of one day. */
-export function buildLargeLog (): LargeLog {
-  const log = new LargeLog()
-  log.apply({ kind: 'apply_configuration', change: diffDocument(emptyConfiguration(), largeInventory()) })
-  for (let worker = 0; worker < WORKERS; worker += 1) log.apply(largeWorkerState(worker, 1))
-  for (let number = 0; number < RUNNING_TASKS / GANG_TASKS; number += 1) log.runJob(number)
+export function buildAppliedState (): AppliedState {
+  const applied = new AppliedState()
+  applied.apply({ kind: 'apply_configuration', change: diffDocument(emptyConfiguration(), benchInventory()) })
+  for (let worker = 0; worker < WORKERS; worker += 1) applied.apply(activateWorkerCommand(worker, 1))
+  for (let number = 0; number < RUNNING_TASKS / GANG_TASKS; number += 1) applied.runJob(number)
   for (let number = 0; number < ENDED_JOBS; number += 1) {
-    const spec = largeJob(1_000_000 + number)
-    log.apply({ kind: 'submit_job', spec })
-    log.apply({ kind: 'end_job', jobId: spec.jobId, leaseId: 0, outcome: 'cancelled', reason: 'cancelled by the caller' })
+    const spec = benchJob(1_000_000 + number)
+    applied.apply({ kind: 'submit_job', spec })
+    applied.apply({ kind: 'end_job', jobId: spec.jobId, leaseId: 0, outcome: 'cancelled', reason: 'cancelled by the caller' })
   }
-  return log
+  return applied
 }
 
 /** Returns the command that makes a worker active. */
-export function largeWorkerState (worker: number, incarnation: number): ControlCommand {
+export function activateWorkerCommand (worker: number, incarnation: number): ControlCommand {
   const address = `http://10.${worker >> 16}.${(worker >> 8) & 255}.${worker & 255}:8080`
   return { kind: 'worker_state', workerId: `worker-${worker}`, state: 'active', incarnation, address }
 }
 
 /** Returns the report of a worker that runs all tasks placed on it. */
-export function largeReport (state: ControlState, worker: number, sequence: number): WorkerReport {
+export function benchReport (state: ControlState, worker: number, sequence: number): WorkerReport {
   const workerId = `worker-${worker}`
   const tasks = state.cellsOn(workerId).map(({ jobId, leaseId, task }) =>
     ({ jobId, leaseId, taskIndex: task.taskIndex, state: 'running' as const }))
--- a/packages/bench/src/format-figures.ts
+++ b/packages/bench/src/format-figures.ts
@@ -2,31 +2,32 @@
 import { readFile, writeFile } from 'node:fs/promises'
 import type { BenchTable } from './format.js'
 
-/** Results of one benchmark run, as stored in a file. */
-export interface Figures {
+/** Results of one run of benchmarks, as stored in a file. */
+export interface BenchResults {
   readonly nodeVersion: string
   readonly seeds: readonly number[]
   readonly isQuick: boolean
   readonly tables: readonly BenchTable[]
 }
 
-export async function writeFigures (file: string, figures: Figures): Promise<void> {
-  await writeFile(file, `${JSON.stringify(figures, null, 2)}\n`)
+export async function writeResults (file: string, results: BenchResults): Promise<void> {
+  await writeFile(file, `${JSON.stringify(results, null, 2)}\n`)
 }
 
 /** Reads a file written by `writeFigures`; undefined if it is missing, is not JSON or has no tables. */
-export async function readFigures (file: string): Promise<Figures | undefined> {
+export async function readResults (file: string): Promise<BenchResults | undefined> {
   try {
-    const figures = JSON.parse(await readFile(file, 'utf8')) as Partial<Figures>
-    return Array.isArray(figures.tables) ? figures as Figures : undefined
+    const results = JSON.parse(await readFile(file, 'utf8')) as Partial<BenchResults>
+    return Array.isArray(results.tables) ? results as BenchResults : undefined
   } catch {
     return undefined
   }
 }
 
 /**
- * Shows each figure with its change from the earlier run. Cells are matched by table title, row name and column; those
- * that the earlier run did not have are marked `new`.
+ * Shows each number with its change in percent from the earlier run; a cell that is not a plain number, or was 0, is
+ * shown with its earlier content. Cells are matched by table title, row name and column; those that the earlier run did
+ * not have are marked `new`, and so is a whole table if its title differs, for example in the number of seeds.
  *
  * @example
  * compareTables(earlier.tables, tables).map(formatTable)
--- a/packages/bench/src/load-run.ts
+++ b/packages/bench/src/load-run.ts
@@ -7,7 +7,7 @@
 export type LoadOutcome = 'answered' | 'refused' | 'failed'
 
 /** Limits of a run, which ends when either is reached. */
-export interface LoadBounds {
+export interface LoadLimits {
   readonly requests: number
   readonly durationMs: number
 }
@@ -23,8 +23,10 @@
 export interface HttpTargetSettings {
   /** Used round-robin. */
   readonly urls: readonly string[]
+  /** IDs, used round-robin. */
   readonly organisations: readonly string[]
   readonly body: Buffer
+  /** Timeout at the client, also sent as the deadline. */
   readonly timeoutMs: number
   readonly connectionsPerUrl: number
 }
@@ -102,14 +104,14 @@
 /** Decides when requests are sent. */
 export abstract class LoadPattern {
   /** Sends requests until a limit is reached, then waits for all outstanding responses. */
-  async run (target: LoadTarget, bounds: LoadBounds, measurement: LoadMeasurement): Promise<void> {
+  async run (target: LoadTarget, limits: LoadLimits, measurement: LoadMeasurement): Promise<void> {
     const startedMs = performance.now()
-    await this.sendAll(target, { requests: bounds.requests, endsMs: startedMs + bounds.durationMs }, measurement)
+    await this.sendAll(target, { requests: limits.requests, endsMs: startedMs + limits.durationMs }, measurement)
     measurement.addElapsed(performance.now() - startedMs)
   }
 
   protected abstract sendAll (
-    target: LoadTarget, bounds: { requests: number, endsMs: number }, measurement: LoadMeasurement
+    target: LoadTarget, limits: { requests: number, endsMs: number }, measurement: LoadMeasurement
   ): Promise<void>
 }
 
@@ -177,10 +179,10 @@
 }
 
 async function sendAndRecord (
-  target: LoadTarget, index: number, fromMs: number, measurement: LoadMeasurement
+  target: LoadTarget, index: number, startMs: number, measurement: LoadMeasurement
 ): Promise<void> {
   const outcome = await target.send(index)
-  measurement.record(outcome, performance.now() - fromMs)
+  measurement.record(outcome, performance.now() - startMs)
 }
 
 /** Returns at once for waits below the timer resolution of one millisecond, so such requests are sent together. */
--- a/packages/bench/src/load.ts
+++ b/packages/bench/src/load.ts
@@ -2,7 +2,7 @@
 import { Random } from '@comfreygrade/core'
 import meow from 'meow'
 import { type BenchTable, formatTable } from './format.js'
-import { writeFigures } from './format-figures.js'
+import { writeResults } from './format-figures.js'
 import { ClosedLoop, HttpLoadTarget, LoadMeasurement, type LoadPattern, OpenLoop } from './load-run.js'
 
 const cli = meow(`
@@ -20,10 +20,12 @@
     --duration-ms N     maximum duration per round and target (default 10000)
     --rounds N          number of rounds; each sends to both targets (default 3)
     --body-bytes N      size of the request body (default 256)
-    --timeout-ms N      deadline of each request (default 10000)
+    --timeout-ms N      timeout of each request, also sent as its deadline (default 10000)
     --connections N     connections per address (default 50)
     --seed N            random seed of the arrival times (default 1)
-    --out FILE          write the figures as JSON
+    --out FILE          write the results as JSON
+
+  The defaults of --service and --organisation are those of the demo. The exit code is 1 if a target answered no request.
 `, {
   importMeta: import.meta,
   allowUnknownFlags: false,
@@ -74,8 +76,8 @@
   const measurements = { direct: new LoadMeasurement(), entry: new LoadMeasurement() }
   const targets = { direct: createTarget('direct'), entry: createTarget('entry') }
   for (const name of TARGETS) {
-    const bounds = { requests: WARM_UP_REQUESTS, durationMs }
-    await new ClosedLoop(callers).run(targets[name], bounds, new LoadMeasurement())
+    const limits = { requests: WARM_UP_REQUESTS, durationMs }
+    await new ClosedLoop(callers).run(targets[name], limits, new LoadMeasurement())
   }
   for (let round = 0; round < rounds; round++) {
     for (const name of TARGETS) {
@@ -122,7 +124,7 @@
   console.log(formatTable(table))
   const { out, seed } = cli.flags
   if (out !== undefined) {
-    await writeFigures(out, { nodeVersion: process.version, seeds: [seed], isQuick: false, tables: [table] })
+    await writeResults(out, { nodeVersion: process.version, seeds: [seed], isQuick: false, tables: [table] })
   }
   process.exitCode = TARGETS.some(name => measurements[name].counts.answered === 0) ? 1 : 0
 } else {
--- a/packages/bench/src/main.ts
+++ b/packages/bench/src/main.ts
@@ -1,14 +1,14 @@
-/** `npm run bench -- [NAME ...]`: runs benchmarks of the decision packages and of the resource use of whole nodes. */
+/** `npm run bench -- [NAME ...]`: runs benchmarks of single packages and of node processes. */
 import { existsSync } from 'node:fs'
 import meow from 'meow'
 import { type BenchTable, formatTable } from './format.js'
-import { compareTables, type Figures, readFigures, writeFigures } from './format-figures.js'
+import { compareTables, type BenchResults, readResults, writeResults } from './format-figures.js'
 
-/** Each benchmark is the module `NAME-bench.js` in this folder. */
-const DECISION_NAMES = ['placement', 'routing', 'consensus', 'control', 'batch'] as const
-/** Benchmarks of node processes. They take minutes, so `all` does not include them. */
-const CAPACITY_NAMES = ['capacity-idle', 'capacity-workers', 'capacity-changes', 'capacity-inventory', 'capacity-urgent'] as const
-const NAMES = [...DECISION_NAMES, ...CAPACITY_NAMES] as const
+/** Benchmarks of one package each. Every benchmark is the module `NAME-bench.js` in this folder. */
+const PACKAGE_BENCHMARKS = ['placement', 'routing', 'consensus', 'control', 'batch'] as const
+/** Benchmarks of the resource use and latency of node processes. They take minutes, so `all` leaves them out. */
+const NODE_BENCHMARKS = ['capacity-idle', 'capacity-workers', 'capacity-changes', 'capacity-inventory', 'capacity-urgent'] as const
+const NAMES = [...PACKAGE_BENCHMARKS, ...NODE_BENCHMARKS] as const
 
 type BenchName = typeof NAMES[number]
 
@@ -23,10 +23,13 @@
   Usage
     $ npm run bench -- [${NAMES.join('|')}|all]
 
+  Without a name, or with "all", runs all but the capacity benchmarks, which measure node processes.
+
   Options
-    --seed N        random seed; repeatable (default ${DEFAULT_SEEDS.join(', ')})
-    --quick         smaller sizes, to check that the benchmarks run
-    --out FILE      write the figures as JSON
+    --seed N        random seed of placement, routing and batch; repeatable (default ${DEFAULT_SEEDS.join(', ')});
+                    routing uses all seeds from the lowest to the highest
+    --quick         less work, to check that the benchmarks run; no effect on consensus and control
+    --out FILE      write the results as JSON
     --compare FILE  compare with a file written by --out
 `, {
   importMeta: import.meta,
@@ -39,10 +42,12 @@
   }
 })
 
-/** Returns undefined if a requested name is unknown or has no module; `all` skips names without a module. */
-function chooseNames (input: readonly string[]): readonly BenchName[] | undefined {
-  if (input.length === 0 || input.includes('all')) return DECISION_NAMES.filter(hasModule)
-  const chosen = NAMES.filter(name => input.includes(name) && hasModule(name))
+/**
+ * Returns undefined if a requested name is unknown, given twice or has no module; `all` skips names without a module.
+ */
+function selectBenchmarks (input: readonly string[]): readonly BenchName[] | undefined {
+  if (input.length === 0 || input.includes('all')) return PACKAGE_BENCHMARKS.filter(checkModule)
+  const chosen = NAMES.filter(name => input.includes(name) && checkModule(name))
   return chosen.length === input.length ? chosen : undefined
 }
 
@@ -50,7 +55,8 @@
   return new URL(`./${name}-bench.js`, import.meta.url)
 }
 
-function hasModule (name: BenchName): boolean {
+/** Returns whether the module of a benchmark exists, and prints an error if not. */
+function checkModule (name: BenchName): boolean {
   if (existsSync(moduleUrl(name))) return true
   console.error(`benchmark ${name}: module ${name}-bench.js not found`)
   return false
@@ -63,26 +69,26 @@
   return tables
 }
 
-async function runAll (names: readonly BenchName[], earlier: Figures | undefined): Promise<void> {
+async function runAll (names: readonly BenchName[], earlierRun: BenchResults | undefined): Promise<void> {
   const { seed, quick, out } = cli.flags
   const tables: BenchTable[] = []
   for (const name of names) tables.push(...await runBench(name))
-  if (out !== undefined) await writeFigures(out, { nodeVersion: process.version, seeds: seed, isQuick: quick, tables })
-  if (earlier === undefined) return
-  if (earlier.isQuick !== quick) console.error('warning: only one of the compared runs used --quick, so the figures are not comparable')
-  for (const table of compareTables(earlier.tables, tables)) console.log(`${formatTable(table)}\n`)
+  if (out !== undefined) await writeResults(out, { nodeVersion: process.version, seeds: seed, isQuick: quick, tables })
+  if (earlierRun === undefined) return
+  if (earlierRun.isQuick !== quick) console.error('warning: only one of the compared runs used --quick, so the figures are not comparable')
+  for (const table of compareTables(earlierRun.tables, tables)) console.log(`${formatTable(table)}\n`)
 }
 
 const { compare } = cli.flags
-const names = chooseNames(cli.input)
+const names = selectBenchmarks(cli.input)
 // Read before the benchmarks run, so that an unreadable file fails at once and not after minutes.
-const earlier = compare === undefined ? undefined : await readFigures(compare)
+const earlierRun = compare === undefined ? undefined : await readResults(compare)
 if (names === undefined) {
-  console.error(`unknown benchmark in "${cli.input.join(' ')}"; expected ${NAMES.join(', ')} or all`)
+  console.error(`unknown, repeated or unavailable benchmark in "${cli.input.join(' ')}"; expected ${NAMES.join(', ')} or all`)
   process.exitCode = 2
-} else if (compare !== undefined && earlier === undefined) {
+} else if (compare !== undefined && earlierRun === undefined) {
   console.error(`--compare: ${compare} is not a readable file written by --out`)
   process.exitCode = 2
 } else {
-  await runAll(names, earlier)
+  await runAll(names, earlierRun)
 }
--- a/packages/bench/src/placement-bench.ts
+++ b/packages/bench/src/placement-bench.ts
@@ -1,15 +1,17 @@
-/** Placement benchmark: compares the policy with a baseline and with each of its mechanisms disabled. */
+/**
+ * Placement benchmark: compares `BuddyCellPolicy` with a first-fit baseline and with each of its mechanisms disabled.
+ */
 import type { JobSpec } from '@comfreygrade/core'
 import {
   BuddyCellPolicy, FirstFitPolicy, type PlacementPolicy, type PlacementSettings, defaultPlacementSettings
 } from '@comfreygrade/placement'
 import type { BenchTable } from './format.js'
 import { type LoadClass, type LoadSettings, generateLoad } from './placement-load.js'
-import { type JobResult, type SimulationResult, jobsOfClass, simulate } from './placement-simulation.js'
+import { CUT_OFF_FACTOR, type JobResult, type SimulationResult, jobsOfClass, simulate } from './placement-simulation.js'
 
 const HOUR_MS = 3_600_000
 
-/** Seeds for tuning settings. Kept apart from the reported seeds, so that results are not overfitted. */
+/** Seeds for choosing settings. Kept apart from the reported seeds, so that results are not overfitted. */
 export const TUNING_SEEDS: readonly number[] = [1, 2, 3, 4, 5, 6, 7, 8, 9, 10]
 /** Seeds of the reported figures. */
 export const REPORTED_SEEDS: readonly number[] = [101, 102, 103, 104, 105, 106, 107, 108, 109, 110]
@@ -67,13 +69,13 @@
   }
 }
 
-/** The production policy and the first-fit baseline. */
+/** The policy that nodes use and the first-fit baseline. */
 export function comparedPolicies (): PlacementPolicy[] {
   return [new BuddyCellPolicy(), new FirstFitPolicy()]
 }
 
-/** Variants of the production policy, each with one mechanism disabled. */
-export function ablatedPolicies (): PlacementPolicy[] {
+/** Variants of `BuddyCellPolicy`, each with one mechanism disabled. */
+export function policiesWithoutOneMechanism (): PlacementPolicy[] {
   return [
     new WithoutBackfilling(),
     new WithoutGuarantees(),
@@ -136,8 +138,9 @@
   return result.waitMs ?? cutOffMs(result)
 }
 
+/** Time from submission until the simulation of a load of `benchLoadSettings` is cut off. */
 function cutOffMs (result: JobResult): number {
-  return 3 * 24 * HOUR_MS - result.job.submitMs
+  return CUT_OFF_FACTOR * 24 * HOUR_MS - result.job.submitMs
 }
 
 function largestJobs (result: SimulationResult): JobResult[] {
@@ -201,7 +204,7 @@
 export async function run ({ seeds, quick }: { seeds: readonly number[], quick: boolean }): Promise<BenchTable[]> {
   return (quick ? [1] : DEPLOYMENT_RACKS).flatMap(racks => {
     const compared = comparedPolicies().map(policy => measurePolicy(policy, racks, seeds))
-    const ablated = ablatedPolicies().map(policy => measurePolicy(policy, racks, seeds))
+    const ablated = policiesWithoutOneMechanism().map(policy => measurePolicy(policy, racks, seeds))
     const size = `${racks * 8} workers, ${seeds.length} seeds, mean ± spread`
     return [
       toTable(`Placement: ${size}`, formatRows(compared)),
--- a/packages/bench/src/placement-decision-time.ts
+++ b/packages/bench/src/placement-decision-time.ts
@@ -1,12 +1,12 @@
 /** Measures decision time and memory of the gang scheduler for a given number of workers. */
 import { type Configuration, type JobSpec, Random, type Worker, defaultRules } from '@comfreygrade/core'
 import { BuddyCellPolicy, GangScheduler, Heap, defaultPlacementSettings } from '@comfreygrade/placement'
-import { benchWorker } from './placement-load.js'
+import { MAX_DECLARATION_ERROR_FACTOR, benchWorker } from './placement-load.js'
 
 const DAY_MS = 86_400_000
-/** Jobs per day and accelerators of the size planned for two years from now. */
-const TARGET_JOBS_PER_DAY = 35_000
-const TARGET_ACCELERATORS = 47_000
+/** Jobs per day and accelerators at the planned size of 21,000 workers. */
+const PLANNED_JOBS_PER_DAY = 35_000
+const PLANNED_ACCELERATORS = 47_000
 const ORGANISATIONS = 830
 /** Offered accelerator time as a share of the inventory, low enough to keep the queue short. */
 const OFFERED_SHARE = 0.85
@@ -31,7 +31,9 @@
   readonly memoryMb: number
   /** Time to apply a configuration with one more worker. */
   readonly applyConfigurationMs: number
-  /** Time to cancel all jobs, divided by the number of waiting jobs; 0 if few jobs wait. */
+  /**
+   * Time to cancel all jobs, also those that run or have ended, divided by the number of waiting jobs; 0 if few wait.
+   */
   readonly cancelUsPerJob: number
 }
 
@@ -62,9 +64,9 @@
   #nextJobNumber = 1
 
   constructor (workers: number) {
-    this.#configuration = targetConfiguration(workers)
+    this.#configuration = plannedConfiguration(workers)
     this.#accelerators = [...this.#configuration.workers.values()].reduce((sum, worker) => sum + worker.accelerators, 0)
-    this.#interarrivalMs = DAY_MS / TARGET_JOBS_PER_DAY * TARGET_ACCELERATORS / this.#accelerators
+    this.#interarrivalMs = DAY_MS / PLANNED_JOBS_PER_DAY * PLANNED_ACCELERATORS / this.#accelerators
     this.#memoryBeforeBytes = memoryBytes()
     this.#scheduler = new GangScheduler(defaultPlacementSettings, new BuddyCellPolicy())
     this.#scheduler.applyConfiguration(this.#configuration)
@@ -169,7 +171,7 @@
       coresPerTask: 4,
       memoryGbPerTask: 16,
       adjacency: tasks > 4 ? 'none' : 'rack',
-      declaredRunMs: meanRunMs * 10 ** (2 * this.#random.nextFloat() - 1),
+      declaredRunMs: meanRunMs * MAX_DECLARATION_ERROR_FACTOR ** (2 * this.#random.nextFloat() - 1),
       priority: this.#random.nextInt(1, 20) === 1 ? 'urgent' : 'normal',
       preemption: this.#random.nextInt(1, 10) === 1 ? 'none' : 'checkpoint'
     }
@@ -178,7 +180,7 @@
 }
 
 /** Up to 3,000 workers, all have 8 accelerators. Larger inventories have the planned mix: few with 8, most with 2. */
-function targetConfiguration (workerCount: number): Configuration {
+function plannedConfiguration (workerCount: number): Configuration {
   const workers: Worker[] = []
   const racks = Math.ceil(workerCount / WORKERS_PER_RACK)
   for (let rack = 0; rack < racks; rack++) {
--- a/packages/bench/src/placement-load.ts
+++ b/packages/bench/src/placement-load.ts
@@ -51,13 +51,16 @@
 }
 
 /** Share of the submitted load by organisation; two submit 80 %. */
-const ORGANISATION_WEIGHTS: ReadonlyArray<readonly [string, number]> =
+const ORGANISATION_SHARES: ReadonlyArray<readonly [string, number]> =
   [['o1', 0.4], ['o2', 0.4], ['o3', 0.1], ['o4', 0.1]]
 /** Share of the offered accelerator time by class. */
 const CLASS_SHARES: ReadonlyArray<readonly [LoadClass, number]> = [['small', 0.4], ['large', 0.55], ['urgent', 0.05]]
+/** Mean number of jobs per burst, before it is rounded down to a whole number. */
 const BURST_SIZE_MEAN: Readonly<Record<LoadClass, number>> = { small: 12, large: 2, urgent: 3 }
 const RUN_MEDIAN_MS: Readonly<Record<LoadClass, number>> =
   { small: 20 * MINUTE_MS, large: 60 * MINUTE_MS, urgent: 3 * MINUTE_MS }
+/** The declared run time is at most this many times shorter or longer than the actual one. */
+export const MAX_DECLARATION_ERROR_FACTOR = 10
 const JOB_CLASSES_PER_LOAD_CLASS = 3
 const FAILING_JOB_SHARE = 0.01
 const LONG_RUN_SHARE = 0.05
@@ -149,7 +152,7 @@
       atMs < this.#settings.durationMs;
       atMs += this.#drawExponentialMs(gapMs)
     ) {
-      const organisationId = this.#drawWeighted(ORGANISATION_WEIGHTS)
+      const organisationId = this.#drawWeighted(ORGANISATION_SHARES)
       cancellations.push({ atMs, organisationId, share: 0.1 + 0.3 * this.#random.nextFloat() })
     }
     return cancellations
@@ -179,19 +182,19 @@
   /** Draws bursts until the jobs of the class offer their share of accelerator time. */
   #drawJobs (loadClass: LoadClass, share: number): LoadJob[] {
     const { racks, durationMs, offeredShare } = this.#settings
-    const budget = racks * 64 * durationMs * offeredShare * share
+    const budgetAcceleratorMs = racks * 64 * durationMs * offeredShare * share
     const jobs: LoadJob[] = []
-    let offered = 0
-    while (offered < budget) {
+    let offeredAcceleratorMs = 0
+    while (offeredAcceleratorMs < budgetAcceleratorMs) {
       const burst = this.#drawBurst(loadClass)
       jobs.push(...burst)
-      for (const job of burst) offered += job.spec.tasks * job.spec.acceleratorsPerTask * job.actualRunMs
+      for (const job of burst) offeredAcceleratorMs += job.spec.tasks * job.spec.acceleratorsPerTask * job.actualRunMs
     }
     return jobs
   }
 
   #drawBurst (loadClass: LoadClass): LoadJob[] {
-    const organisationId = this.#drawWeighted(ORGANISATION_WEIGHTS)
+    const organisationId = this.#drawWeighted(ORGANISATION_SHARES)
     const startMs = this.#random.nextInt(0, this.#settings.durationMs)
     const size = 1 + Math.floor(this.#drawExponential(BURST_SIZE_MEAN[loadClass] - 1))
     return Array.from({ length: size }, () =>
@@ -201,7 +204,7 @@
   #drawJob (loadClass: LoadClass, organisationId: string, submitMs: number): LoadJob {
     const classIndex = this.#random.nextInt(1, JOB_CLASSES_PER_LOAD_CLASS)
     const actualRunMs = this.#drawRunMs(loadClass, classIndex)
-    const declaredRunMs = Math.round(actualRunMs * 10 ** (2 * this.#random.nextFloat() - 1))
+    const declaredRunMs = Math.round(actualRunMs * MAX_DECLARATION_ERROR_FACTOR ** (2 * this.#random.nextFloat() - 1))
     const shape = this.#drawShape(loadClass)
     const spec: JobSpec = {
       jobId: `job${this.#nextJob++}`,
--- a/packages/bench/src/placement-main.ts
+++ b/packages/bench/src/placement-main.ts
@@ -2,8 +2,8 @@
 import meow from 'meow'
 import type { PlacementPolicy } from '@comfreygrade/placement'
 import {
-  type PolicyRow, REPORTED_SEEDS, TUNING_SEEDS, ablatedPolicies, comparedPolicies, formatDifferences, formatRows,
-  measurePolicy
+  type PolicyRow, REPORTED_SEEDS, TUNING_SEEDS, comparedPolicies, formatDifferences, formatRows, measurePolicy,
+  policiesWithoutOneMechanism
 } from './placement-bench.js'
 import { formatDecisionTimes, measureDecisionTime } from './placement-decision-time.js'
 
@@ -27,7 +27,7 @@
 const { part, racks, seeds } = cli.flags
 const chosenSeeds = seeds === 'reported' ? REPORTED_SEEDS : TUNING_SEEDS
 if (part === 'decision-time') printDecisionTimes()
-else if (part === 'mechanisms') console.log(formatDifferences(measurePolicies([comparedPolicies()[0]!, ...ablatedPolicies()])))
+else if (part === 'mechanisms') console.log(formatDifferences(measurePolicies([comparedPolicies()[0]!, ...policiesWithoutOneMechanism()])))
 else console.log(formatRows(measurePolicies(comparedPolicies())))
 
 function measurePolicies (policies: readonly PlacementPolicy[]): PolicyRow[] {
--- a/packages/bench/src/placement-simulation.ts
+++ b/packages/bench/src/placement-simulation.ts
@@ -14,7 +14,7 @@
 const TICK_INTERVAL_MS = 30_000
 const SAMPLE_INTERVAL_MS = 600_000
 /** The simulation is cut off after this many times the duration of the load. */
-const DRAIN_FACTOR = 3
+export const CUT_OFF_FACTOR = 3
 
 export interface JobResult {
   readonly job: LoadJob
@@ -22,6 +22,10 @@
   readonly waitMs: number | undefined
   /** Time from submission to the end; undefined for a job that did not complete. */
   readonly completionMs: number | undefined
+  /**
+   * `refused`: not accepted on submission; `stopped`: given up by the scheduler; `unfinished`: not ended when the
+   * simulation was cut off.
+   */
   readonly outcome: 'completed' | 'cancelled' | 'refused' | 'stopped' | 'unfinished'
 }
 
@@ -30,7 +34,7 @@
   readonly jobs: readonly JobResult[]
   /** Share of the inventory's accelerator time that jobs held while the load arrived. */
   readonly utilisation: number
-  /** Share of the inventory's accelerator time that completed jobs needed while the load arrived. */
+  /** Accelerator time needed by the jobs that completed while the load arrived, as a share of the inventory's. */
   readonly goodput: number
   /** Mean of the fragmentation samples taken while jobs waited. */
   readonly fragmentation: number
@@ -70,10 +74,10 @@
  * simulate(generateLoad(settings, 101), new BuddyCellPolicy(), defaultPlacementSettings).utilisation
  */
 export function simulate (load: PlacementLoad, policy: PlacementPolicy, settings: PlacementSettings): SimulationResult {
-  return new Simulation(load, new GangScheduler(settings, policy)).run()
+  return new PlacementSimulation(load, new GangScheduler(settings, policy)).run()
 }
 
-class Simulation {
+class PlacementSimulation {
   readonly #load: PlacementLoad
   readonly #scheduler: GangScheduler
   readonly #events = new Heap<TimedEvent>((left, right) => left.atMs - right.atMs || left.order - right.order)
@@ -88,11 +92,11 @@
   #openJobs = 0
   #heldAccelerators = 0
   #heldAcceleratorMs = 0
-  /** Accelerator milliseconds that completed jobs needed. */
-  #usefulWork = 0
+  /** Accelerator milliseconds needed by the jobs that completed while the load arrived. */
+  #usefulWorkMs = 0
   #reclaims = 0
   #passes = 0
-  #sampledMs = 0
+  #lastSampleAtMs = 0
 
   constructor (load: PlacementLoad, scheduler: GangScheduler) {
     this.#load = load
@@ -103,7 +107,7 @@
   run (): SimulationResult {
     this.#prepare()
     for (let next = this.#events.pop(); next !== undefined; next = this.#events.pop()) {
-      if (next.atMs > this.#load.durationMs * DRAIN_FACTOR || (this.#openJobs === 0 && this.#isAllSubmitted())) break
+      if (next.atMs > this.#load.durationMs * CUT_OFF_FACTOR || (this.#openJobs === 0 && this.#isAllSubmitted())) break
       this.#advance(next.atMs)
       this.#handle(next.event)
       this.#pass()
@@ -236,7 +240,7 @@
 
   #complete (state: JobState): void {
     const { spec, actualRunMs } = state.job
-    if (this.#nowMs < this.#load.durationMs) this.#usefulWork += spec.tasks * spec.acceleratorsPerTask * actualRunMs
+    if (this.#nowMs < this.#load.durationMs) this.#usefulWorkMs += spec.tasks * spec.acceleratorsPerTask * actualRunMs
     state.completionMs = this.#nowMs - state.job.submitMs
     this.#finish(state, 'completed')
   }
@@ -297,8 +301,8 @@
 
   #tick (): void {
     if (this.#openJobs > 0 || !this.#isAllSubmitted()) this.#schedule(this.#nowMs + TICK_INTERVAL_MS, { kind: 'tick' })
-    if (this.#nowMs - this.#sampledMs < SAMPLE_INTERVAL_MS || this.#nowMs > this.#load.durationMs) return
-    this.#sampledMs = this.#nowMs
+    if (this.#nowMs - this.#lastSampleAtMs < SAMPLE_INTERVAL_MS || this.#nowMs > this.#load.durationMs) return
+    this.#lastSampleAtMs = this.#nowMs
     const report = this.#scheduler.report()
     if (report.waitingJobs > 0) this.#fragmentation.push(report.fragmentation)
   }
@@ -308,7 +312,7 @@
     return {
       jobs: [...this.#jobs.values()],
       utilisation: this.#heldAcceleratorMs / capacity,
-      goodput: this.#usefulWork / capacity,
+      goodput: this.#usefulWorkMs / capacity,
       fragmentation: mean(this.#fragmentation),
       reclaimMs: this.#reclaimMs,
       reclaims: this.#reclaims,
--- a/packages/bench/src/routing-load.ts
+++ b/packages/bench/src/routing-load.ts
@@ -1,10 +1,10 @@
 /** Load of the routing benchmark: deployments, request kinds and arrivals. */
 import type { Random, Repeatability } from '@comfreygrade/core'
 
-/** Deployments, which differ in the network delay between callers and entry VMs. */
+/** Deployments, which differ in the network delay between callers and entry nodes. */
 export type Deployment = 'ferreyra' | 'kartli'
 
-/** One-way delay between callers and entry VMs. */
+/** One-way delay between callers and entry nodes. */
 export const clientDelayMs: Readonly<Record<Deployment, number>> = { ferreyra: 1, kartli: 3 }
 
 /** Distribution of the requests of one class. The router does not see the service times. */
@@ -61,17 +61,20 @@
 /** Share of the load by region. */
 export const regionShares: readonly number[] = [0.45, 0.3, 0.25]
 
-/** The arrival rate rises tenfold within 2 s, stays there, and falls back within 2 s; arrivals end later. */
+/**
+ * The arrival rate rises tenfold within 2 s, stays there, and falls back within 2 s. All arrivals, heartbeats and
+ * gossip end at `arrivalsEndMs`.
+ */
 export const loadSpike = {
   startMs: 4_000, riseMs: 2_000, holdMs: 1_500, fallMs: 2_000, factor: 10, arrivalsEndMs: 20_000
 } as const
 
 /** Burst of long requests of one organisation after the load spike, as at the end of a university term. */
-export const longBurst = { atMs: 14_000, durationMs: 500, requests: 400, organisationId: 'o1' } as const
+export const longRequestBurst = { atMs: 14_000, durationMs: 500, requests: 400, organisationId: 'o1' } as const
 
 export const loadSpikeEndMs = loadSpike.startMs + loadSpike.riseMs + loadSpike.holdMs + loadSpike.fallMs
 
-/** Arrival of one request at an entry VM. */
+/** Arrival of one request at an entry node. */
 export interface PlannedArrival {
   readonly kind: RequestKind
   readonly organisationId: string
@@ -113,10 +116,10 @@
 }
 
 /** Draws a request of the burst of long requests. */
-export function drawLongArrival (random: Random): PlannedArrival {
+export function drawLongRequest (random: Random): PlannedArrival {
   const kind = requestKinds.at(-1)!
   const serviceMs = kind.medianServiceMs * Math.exp(kind.logSigma * drawNormal(random))
-  return { kind, organisationId: longBurst.organisationId, serviceMs, repeatability: 'idempotent', hasIdempotencyKey: false }
+  return { kind, organisationId: longRequestBurst.organisationId, serviceMs, repeatability: 'idempotent', hasIdempotencyKey: false }
 }
 
 /** Draws the time until the next arrival of a Poisson process. */
--- a/packages/bench/src/routing-measures.ts
+++ b/packages/bench/src/routing-measures.ts
@@ -1,6 +1,6 @@
 /** Computes the measures of one simulation of the routing benchmark. */
 import { errorTable, type ErrorKind } from '@comfreygrade/core'
-import { longBurst, loadSpike, loadSpikeEndMs, type PlannedArrival } from './routing-load.js'
+import { longRequestBurst, loadSpike, loadSpikeEndMs, type PlannedArrival } from './routing-load.js'
 
 /** Record of one request: times at the caller, outcomes that it received, and executions at servers. */
 export interface RequestTrace {
@@ -13,7 +13,12 @@
   executionCount: number
 }
 
-/** Measures by name, which ends in the unit and is the row name in the table. */
+/**
+ * Measures by name, which is the row name in the table and ends in the unit, except for counts. `short` stands for
+ * requests of class `charge`, `InBurst` for those sent after the burst of long requests began, and `Per1000` for a
+ * number per 1,000 requests. `retriesPer1000`, `crossRegionPercent`, `truthViolations` and `routerMicrosPerRequest`
+ * include the requests of the first second.
+ */
 export type Measures = Record<string, number>
 
 /** Totals of a simulation that are not part of a trace. */
@@ -30,12 +35,13 @@
 const RECOVERED_WAIT_FACTOR = 2
 const RECOVERY_WINDOW_MS = 250
 /** Requests of the first second are not counted, as the routers start without learned limits and loads. */
-const WARM_UP_MS = 1_000
+const UNCOUNTED_START_MS = 1_000
 
-export function measure (traces: readonly RequestTrace[], counts: RunCounts): Measures {
-  const counted = traces.filter(trace => trace.sentAtMs >= WARM_UP_MS)
+/** Computes all measures of a simulation. */
+export function computeMeasures (traces: readonly RequestTrace[], counts: RunCounts): Measures {
+  const counted = traces.filter(trace => trace.sentAtMs >= UNCOUNTED_START_MS)
   const short = counted.filter(trace => trace.arrival.kind.requestClass === 'charge')
-  const burst = short.filter(trace => trace.sentAtMs >= longBurst.atMs)
+  const burst = short.filter(trace => trace.sentAtMs >= longRequestBurst.atMs)
   return {
     requests: counted.length,
     onTimePercent: percent(counted, isOnTime),
@@ -50,7 +56,7 @@
     retriesPer1000: counts.retries / traces.length * 1000,
     wastedExecutionsPer1000: counted.reduce((sum, trace) => sum + wastedExecutions(trace), 0) / counted.length * 1000,
     crossRegionPercent: counts.crossRegionDispatches / Math.max(1, counts.dispatches) * 100,
-    truthViolations: traces.filter(contradictsExecutions).length,
+    truthViolations: traces.filter(violatesOutcomeGuarantees).length,
     routerMicrosPerRequest: counts.routerMs * 1000 / traces.length,
     bytesPerLoadReport: counts.reportBytes / Math.max(1, counts.reports),
     loadReportsPerSecond: counts.reports / loadSpike.arrivalsEndMs * 1000
@@ -73,8 +79,11 @@
   return trace.outcome === 'success' && trace.endedAtMs! <= trace.deadlineAtMs
 }
 
-/** Whether the outcome reported to the caller contradicts what the servers executed. */
-function contradictsExecutions (trace: RequestTrace): boolean {
+/**
+ * Whether a request violates the guarantees on outcomes (`truthViolations`): it did not get exactly one outcome, it
+ * must not be repeated and was executed more than once, or its error says that it was not run although it was.
+ */
+function violatesOutcomeGuarantees (trace: RequestTrace): boolean {
   if (trace.outcomeCount !== 1) return true
   if (trace.arrival.repeatability === 'non-repeatable' && trace.executionCount > 1) return true
   const { outcome } = trace
@@ -82,11 +91,14 @@
   return errorTable[outcome].outcome === 'not_run' && trace.executionCount > 0
 }
 
+/** Executions that did not lead to a response in time. */
 function wastedExecutions (trace: RequestTrace): number {
   return isOnTime(trace) ? trace.executionCount - 1 : trace.executionCount
 }
 
-/** Time from sending to the response, without the service time. */
+/**
+ * Time from sending to the response, without the drawn service time; what a slow server takes longer counts as wait.
+ */
 function waitMs (trace: RequestTrace): number {
   return trace.endedAtMs! - trace.sentAtMs - trace.arrival.serviceMs
 }
@@ -141,11 +153,15 @@
   return Object.fromEntries([...groups].sort().map(([name, group]) => [`ended.${name}Per1000`, perThousand(group.length)]))
 }
 
+/**
+ * Returns the time after the load spike until the 95th percentile of the wait stays within its limit, by windows up
+ * to the burst of long requests (`normalAgainAfterMs`).
+ */
 function recoveryTimeMs (short: readonly RequestTrace[]): number {
   const before = short.filter(trace => trace.sentAtMs < loadSpike.startMs && isOnTime(trace)).map(waitMs)
   const limitMs = quantile(before, 0.95) * RECOVERED_WAIT_FACTOR
   const after = short.filter(({ sentAtMs, endedAtMs }) =>
-    sentAtMs >= loadSpikeEndMs && sentAtMs < longBurst.atMs && endedAtMs !== undefined)
+    sentAtMs >= loadSpikeEndMs && sentAtMs < longRequestBurst.atMs && endedAtMs !== undefined)
   const windows = groupBy(after, trace => String(Math.floor((trace.sentAtMs - loadSpikeEndMs) / RECOVERY_WINDOW_MS)))
   let lastSlowWindow = -1
   for (const [index, group] of windows) {
--- a/packages/bench/src/routing-servers.ts
+++ b/packages/bench/src/routing-servers.ts
@@ -2,17 +2,24 @@
 import type { BackendServerRecord } from '@comfreygrade/core'
 import type { EventQueue } from './routing-event-queue.js'
 
-/** How a simulated server treats requests. */
+/**
+ * How a simulated server treats requests: `normal` executes them, `slow` takes several times as long, `fails_fast`
+ * answers new ones with an error, `frozen` starts and ends none, and `stopped` rejects new ones but executes those in
+ * its queue.
+ */
 export type ServerBehaviour = 'normal' | 'fails_fast' | 'frozen' | 'slow' | 'stopped'
 
-/** How a server ends a request. */
+/**
+ * How a server ends a request: `connect_failed` if its connections are used up, `rejected` if it is stopped and did not
+ * run the request, otherwise its response.
+ */
 export type ServerResult = 'success' | 'server_error' | 'connect_failed' | 'rejected'
 
 /** A request as a server receives it. */
 export interface ServerRequest {
   readonly serviceMs: number
   readonly onStarted: () => void
-  readonly onEnded: (answer: ServerResult) => void
+  readonly onEnded: (result: ServerResult) => void
 }
 
 /** Response time of a server that fails fast. */
@@ -33,7 +40,7 @@
     this.#events = events
   }
 
-  /** The current announcement. */
+  /** The record that the server announces. */
   get record (): BackendServerRecord {
     return this.#record
   }
@@ -42,7 +49,7 @@
     return this.#behaviour
   }
 
-  /** Increments the sequence number of the announcement, for the next heartbeat. */
+  /** Increments the sequence number of the record, for the next heartbeat. */
   nextRecord (): BackendServerRecord {
     this.#record = { ...this.#record, sequence: this.#record.sequence + 1 }
     return this.#record
@@ -54,7 +61,7 @@
     this.#startQueued()
   }
 
-  /** Returns an announcement that the server accepts no new requests. */
+  /** Returns a record that asks the entry nodes to send no new requests; the server itself still accepts them. */
   startLeaving (): BackendServerRecord {
     this.#record = { ...this.#record, state: 'leaving', sequence: this.#record.sequence + 1 }
     return this.#record
--- a/packages/bench/src/routing-simulation.ts
+++ b/packages/bench/src/routing-simulation.ts
@@ -1,4 +1,4 @@
-/** Simulation of entry VMs with a router each, backend servers, callers and the network between them. */
+/** Simulation of entry nodes with a router each, backend servers, callers and the network between them. */
 import { CountingMetrics, Random, type BackendServerRecord, type RequestSpec } from '@comfreygrade/core'
 import {
   BackendRegistry, defaultRoutingSettings, LocalityPolicy, RequestRouter, RoundRobinPolicy,
@@ -7,10 +7,10 @@
 } from '@comfreygrade/routing'
 import { EventQueue } from './routing-event-queue.js'
 import {
-  clientDelayMs, drawArrival, drawInterarrivalMs, drawLongArrival, drawWeighted, loadFactor, loadSpike, longBurst,
-  meanServiceMs, organisationShares, regionShares, type Deployment, type PlannedArrival
+  clientDelayMs, drawArrival, drawInterarrivalMs, drawLongRequest, drawWeighted, loadFactor, loadSpike,
+  longRequestBurst, meanServiceMs, organisationShares, regionShares, type Deployment, type PlannedArrival
 } from './routing-load.js'
-import { measure, type Measures, type RequestTrace } from './routing-measures.js'
+import { computeMeasures, type Measures, type RequestTrace } from './routing-measures.js'
 import { SimulatedServer, type ServerResult } from './routing-servers.js'
 
 /** Policy of the routers under test. */
@@ -20,16 +20,16 @@
 export interface RoutingSimulationOptions {
   readonly seed: number
   readonly deployment: Deployment
-  /** Factor on 8 entry VMs, 30 backend servers and their load. */
+  /** Factor on 8 entry nodes, 30 backend servers and their load. */
   readonly size: number
   readonly policy: PolicyName
   readonly settings?: Partial<RoutingSettings>
   readonly isLoadShared?: boolean
-  /** If false, the routers see all requests as of one organisation, so that the queue is not fair between them. */
+  /** If false, the routers see all requests as of one organisation, so that no organisation gets a fair share. */
   readonly hasFairQueue?: boolean
 }
 
-const ENTRY_VMS = 8
+const ENTRY_NODES = 8
 const BACKEND_SERVERS = 30
 const SLOTS_PER_SERVER = 8
 const CONNECTIONS_PER_SERVER = 60
@@ -46,15 +46,15 @@
 const GOSSIP_INTERVAL_MS = 200
 /** Time to commit a claim over three regions. */
 const CLAIM_COMMIT_MS = 26
-/** Time for outstanding requests to end after the last arrival. */
-const DRAIN_MS = 22_000
+/** Time for outstanding requests to end after the last arrival; the longest deadline is 20 s. */
+const AFTER_ARRIVALS_MS = 22_000
 const FAST_FAILURE_PERIOD = { fromMs: 2_000, untilMs: 12_000 }
 const SLOW_PERIOD = { fromMs: 3_000, untilMs: 18_000 }
 const FREEZE_PERIOD = { fromMs: 3_000, untilMs: 9_000 }
 const DEPARTURES = { firstAtMs: 2_500, intervalMs: 1_500, stoppedAfterMs: 2_000, restartedAfterMs: 5_000, count: 3 }
 
-/** An entry VM with its router, registry and single wake-up timer. */
-class EntryVm {
+/** An entry node with its router, registry and single wake-up timer. */
+class EntryNode {
   readonly nodeId: string
   readonly region: string
   readonly availabilityZone: string
@@ -84,7 +84,7 @@
   readonly #settings: RoutingSettings
   readonly #events = new EventQueue()
   readonly #random: Random
-  readonly #vms: EntryVm[] = []
+  readonly #nodes: EntryNode[] = []
   readonly #servers = new Map<string, SimulatedServer>()
   readonly #traces = new Map<string, RequestTrace>()
   readonly #attemptResults = new Map<string, 'success' | 'server_error'>()
@@ -98,7 +98,7 @@
     this.#options = options
     this.#settings = { ...defaultRoutingSettings, ...options.settings }
     this.#random = new Random(options.seed)
-    for (let index = 0; index < ENTRY_VMS * options.size; index++) this.#addVm(index)
+    for (let index = 0; index < ENTRY_NODES * options.size; index++) this.#addEntryNode(index)
     for (let index = 0; index < BACKEND_SERVERS * options.size; index++) this.#addServer(index)
   }
 
@@ -107,9 +107,9 @@
     this.#scheduleMembership()
     this.#scheduleFaults()
     this.#generateArrivals()
-    this.#scheduleLongBurst()
-    this.#events.runUntil(loadSpike.arrivalsEndMs + DRAIN_MS)
-    return measure([...this.#traces.values()], {
+    this.#scheduleLongRequestBurst()
+    this.#events.runUntil(loadSpike.arrivalsEndMs + AFTER_ARRIVALS_MS)
+    return computeMeasures([...this.#traces.values()], {
       dispatches: this.#dispatches,
       crossRegionDispatches: this.#crossRegionDispatches,
       retries: this.#countRetries(),
@@ -119,13 +119,13 @@
     })
   }
 
-  #addVm (index: number): void {
+  #addEntryNode (index: number): void {
     const isLocality = this.#options.policy === 'locality'
     const policy = isLocality ? new LocalityPolicy(this.#settings.randomChoices) : new RoundRobinPolicy()
-    const vm = new EntryVm(index, this.#settings, policy, this.#options.seed * 1_000 + index)
+    const node = new EntryNode(index, this.#settings, policy, this.#options.seed * 1_000 + index)
     const organisations = this.#options.hasFairQueue === false ? ['all'] : [...organisationShares.keys()]
-    vm.router.setOrganisations(new Map(organisations.map(each => [each, 1])))
-    this.#vms.push(vm)
+    node.router.setOrganisations(new Map(organisations.map(each => [each, 1])))
+    this.#nodes.push(node)
   }
 
   #addServer (index: number): void {
@@ -143,15 +143,16 @@
       state: 'active'
     }
     this.#servers.set(record.backendServerId, new SimulatedServer(record, this.#events))
-    for (const vm of this.#vms) vm.registry.announce(record, 0)
+    for (const node of this.#nodes) node.registry.announce(record, 0)
   }
 
+  /** Schedules heartbeats, gossip and load reports. */
   #scheduleMembership (): void {
     for (const server of this.#servers.values()) this.#scheduleHeartbeats(server)
-    for (const vm of this.#vms) {
-      this.#scheduleRepeating(GOSSIP_INTERVAL_MS, () => this.#gossip(vm))
+    for (const node of this.#nodes) {
+      this.#scheduleRepeating(GOSSIP_INTERVAL_MS, () => this.#gossip(node))
       if (this.#options.isLoadShared === false) continue
-      this.#scheduleRepeating(this.#settings.loadShareIntervalMs, () => this.#shareLoad(vm))
+      this.#scheduleRepeating(this.#settings.loadShareIntervalMs, () => this.#shareLoad(node))
     }
   }
 
@@ -161,7 +162,7 @@
     })
   }
 
-  /** Starts at a random phase, so that the VMs do not act at the same time. */
+  /** Starts at a random phase, so that the nodes do not act at the same time. */
   #scheduleRepeating (intervalMs: number, callback: () => void): void {
     const repeat = (): void => {
       callback()
@@ -170,35 +171,35 @@
     this.#events.schedule(this.#random.nextFloat() * intervalMs, repeat)
   }
 
-  /** A heartbeat reaches one entry VM through the load balancer; a departure is gossiped at once. */
+  /** A heartbeat reaches one entry node through the load balancer; a departure is gossiped at once. */
   #announce (record: BackendServerRecord): void {
-    const vm = this.#vms[this.#random.nextInt(0, this.#vms.length - 1)]!
-    vm.registry.announce(record, this.#events.nowMs)
-    this.#scheduleWake(vm)
-    if (record.state === 'leaving') this.#gossip(vm)
+    const node = this.#nodes[this.#random.nextInt(0, this.#nodes.length - 1)]!
+    node.registry.announce(record, this.#events.nowMs)
+    this.#scheduleWake(node)
+    if (record.state === 'leaving') this.#gossip(node)
   }
 
-  #gossip (vm: EntryVm): void {
-    const batch = vm.registry.changedSince(vm.gossipedVersion, this.#events.nowMs)
-    vm.gossipedVersion = batch.version
+  #gossip (node: EntryNode): void {
+    const batch = node.registry.changedSince(node.gossipedVersion, this.#events.nowMs)
+    node.gossipedVersion = batch.version
     if (batch.records.length === 0) return
-    this.#sendToPeers(vm, peer => {
+    this.#sendToPeers(node, peer => {
       for (const { record, ageMs } of batch.records) peer.registry.announce(record, this.#events.nowMs, ageMs)
     })
   }
 
-  #shareLoad (vm: EntryVm): void {
-    const report: LoadReport = vm.router.loadReport(this.#settings.loadShareMaxBytes, this.#events.nowMs)
+  #shareLoad (node: EntryNode): void {
+    const report: LoadReport = node.router.loadReport(this.#settings.loadShareMaxBytes, this.#events.nowMs)
     if (report.entries.length === 0) return
     this.#reports++
     this.#reportBytes += JSON.stringify(report).length
-    this.#sendToPeers(vm, peer => peer.router.peerLoad(vm.nodeId, report, this.#events.nowMs))
+    this.#sendToPeers(node, peer => peer.router.peerLoad(node.nodeId, report, this.#events.nowMs))
   }
 
-  #sendToPeers (vm: EntryVm, deliver: (peer: EntryVm) => void): void {
-    for (const peer of this.#vms) {
-      if (peer === vm) continue
-      this.#events.schedule(this.#events.nowMs + oneWayDelayMs(vm, peer), () => {
+  #sendToPeers (node: EntryNode, deliver: (peer: EntryNode) => void): void {
+    for (const peer of this.#nodes) {
+      if (peer === node) continue
+      this.#events.schedule(this.#events.nowMs + oneWayDelayMs(node, peer), () => {
         deliver(peer)
         this.#scheduleWake(peer)
       })
@@ -237,17 +238,17 @@
     this.#events.schedule(nowMs + drawInterarrivalMs(this.#random, perSecond), () => this.#generateArrivals())
   }
 
-  #scheduleLongBurst (): void {
-    for (let index = 0; index < longBurst.requests * this.#options.size; index++) {
-      const atMs = longBurst.atMs + this.#random.nextFloat() * longBurst.durationMs
-      this.#events.schedule(atMs, () => this.#submit(drawLongArrival(this.#random)))
+  #scheduleLongRequestBurst (): void {
+    for (let index = 0; index < longRequestBurst.requests * this.#options.size; index++) {
+      const atMs = longRequestBurst.atMs + this.#random.nextFloat() * longRequestBurst.durationMs
+      this.#events.schedule(atMs, () => this.#submit(drawLongRequest(this.#random)))
     }
   }
 
   #submit (arrival: PlannedArrival): void {
     const region = drawWeighted(this.#random, REGIONS.map((each, index) => [each, regionShares[index]!]))
-    const regionalVms = this.#vms.filter(vm => vm.region === region)
-    const vm = regionalVms[this.#random.nextInt(0, regionalVms.length - 1)]!
+    const regionalNodes = this.#nodes.filter(node => node.region === region)
+    const node = regionalNodes[this.#random.nextInt(0, regionalNodes.length - 1)]!
     const requestId = `q${this.#traces.size}`
     const sentAtMs = this.#events.nowMs
     const deadlineAtMs = sentAtMs + arrival.kind.deadlineMs
@@ -261,40 +262,40 @@
       ...(arrival.hasIdempotencyKey ? { idempotencyKey: requestId } : {}),
       deadlineAtMs: deadlineAtMs - this.#clientDelayMs
     }
-    this.#events.schedule(sentAtMs + this.#clientDelayMs, () => this.#handle(vm, { kind: 'arrived', request }))
+    this.#events.schedule(sentAtMs + this.#clientDelayMs, () => this.#handle(node, { kind: 'arrived', request }))
   }
 
   get #clientDelayMs (): number {
     return clientDelayMs[this.#options.deployment]
   }
 
-  #handle (vm: EntryVm, event: RoutingEvent): void {
+  #handle (node: EntryNode, event: RoutingEvent): void {
     const startedMs = performance.now()
-    const effects = vm.router.handle(event, this.#events.nowMs)
+    const effects = node.router.handle(event, this.#events.nowMs)
     this.#routerMs += performance.now() - startedMs
-    for (const effect of effects) this.#execute(vm, effect)
-    this.#scheduleWake(vm)
+    for (const effect of effects) this.#execute(node, effect)
+    this.#scheduleWake(node)
   }
 
-  #scheduleWake (vm: EntryVm): void {
-    const wakeAtMs = vm.router.nextWakeAtMs()
-    if (wakeAtMs === undefined || wakeAtMs >= vm.wakeAtMs) return
-    vm.wakeAtMs = wakeAtMs
+  #scheduleWake (node: EntryNode): void {
+    const wakeAtMs = node.router.nextWakeAtMs()
+    if (wakeAtMs === undefined || wakeAtMs >= node.wakeAtMs) return
+    node.wakeAtMs = wakeAtMs
     this.#events.schedule(wakeAtMs, () => {
-      if (vm.wakeAtMs !== wakeAtMs) return
-      vm.wakeAtMs = Infinity
-      this.#handle(vm, { kind: 'tick' })
+      if (node.wakeAtMs !== wakeAtMs) return
+      node.wakeAtMs = Infinity
+      this.#handle(node, { kind: 'tick' })
     })
   }
 
-  #execute (vm: EntryVm, effect: RoutingEffect): void {
+  #execute (node: EntryNode, effect: RoutingEffect): void {
     switch (effect.kind) {
       case 'claim': {
         const { requestId } = effect.request
         const decided: RoutingEvent = { kind: 'claim_decided', requestId, decision: { kind: 'granted' } }
-        return this.#events.schedule(this.#events.nowMs + CLAIM_COMMIT_MS, () => this.#handle(vm, decided))
+        return this.#events.schedule(this.#events.nowMs + CLAIM_COMMIT_MS, () => this.#handle(node, decided))
       }
-      case 'dispatch': return this.#dispatch(vm, effect)
+      case 'dispatch': return this.#dispatch(node, effect)
       case 'answer': return this.#recordOutcome(effect.requestId, this.#attemptResults.get(`${effect.requestId}#${effect.attempt}`)!)
       case 'refuse': return this.#recordOutcome(effect.requestId, effect.failure.kind)
       case 'settle_claim':
@@ -308,18 +309,18 @@
     trace.endedAtMs = this.#events.nowMs + this.#clientDelayMs
   }
 
-  #dispatch (vm: EntryVm, effect: Extract<RoutingEffect, { kind: 'dispatch' }>): void {
+  #dispatch (node: EntryNode, effect: Extract<RoutingEffect, { kind: 'dispatch' }>): void {
     const { request: { requestId }, attempt, backendServer, timeoutAtMs } = effect
     const trace = this.#traces.get(requestId)!
     const server = this.#servers.get(backendServer.backendServerId)!
-    const delayMs = oneWayDelayMs(vm, backendServer)
+    const delayMs = oneWayDelayMs(node, backendServer)
     this.#dispatches++
-    if (backendServer.region !== vm.region) this.#crossRegionDispatches++
+    if (backendServer.region !== node.region) this.#crossRegionDispatches++
     let isOpen = true
     const reportOnce = (event: RoutingEvent): void => {
       if (!isOpen) return
       isOpen = false
-      this.#handle(vm, event)
+      this.#handle(node, event)
     }
     const onEnded = (result: ServerResult): void => this.#events.schedule(this.#events.nowMs + delayMs, () => {
       if (isOpen && (result === 'success' || result === 'server_error')) {
@@ -334,7 +335,7 @@
   }
 
   #countRetries (): number {
-    return this.#vms.flatMap(vm => Object.entries(vm.metrics.snapshot()))
+    return this.#nodes.flatMap(node => Object.entries(node.metrics.snapshot()))
       .filter(([name]) => name.startsWith('retry{'))
       .reduce((sum, [, count]) => sum + count, 0)
   }
--- a/packages/bench/test/batch-bench.test.ts
+++ b/packages/bench/test/batch-bench.test.ts
@@ -3,13 +3,13 @@
 import { batchScenarios, runScenario } from '../src/batch-bench.js'
 import { simulateBatch } from '../src/batch-simulation.js'
 
-test('a batch scenario gives the same results when run again with the same seed', t => {
+test('a batch scenario gives the same results when run again with the same seed, so that they can be checked', t => {
   const [calm] = batchScenarios
   const runOnce = () => runScenario(calm as NonNullable<typeof calm>, [3])
   t.deepEqual(runOnce(), runOnce())
 })
 
-test('a lightly loaded fleet serves every job, including a gang that does not fit in one rack', t => {
+test('a lightly loaded fleet ends every job within three times its objective, also a gang that does not fit in one rack', t => {
   const kinds = defaultJobKinds.map(kind => ({ ...kind, arrivalsPerSecond: kind.arrivalsPerSecond / 20 }))
   const jobs = drawJobs(5, kinds, 30_000, [])
   t.true(jobs.some(({ step }) => step.isSameRack && step.taskCount * step.shape.acceleratorCount > 64))
--- a/packages/bench/test/load-run.test.ts
+++ b/packages/bench/test/load-run.test.ts
@@ -2,7 +2,7 @@
 import { Random } from '@comfreygrade/core'
 import { ClosedLoop, LoadMeasurement, type LoadOutcome, LoadTarget, OpenLoop } from '../src/index.js'
 
-/** Answers after a delay and records the highest number of concurrent requests. */
+/** Ends each request with a given outcome after a delay and records the highest number of concurrent requests. */
 class DelayTarget extends LoadTarget {
   open = 0
   maxOpen = 0
@@ -34,7 +34,7 @@
   t.is(measurement.counts.answered, 30)
 })
 
-test('an open loop keeps sending while responses are slow, so that the latency includes queueing', async t => {
+test('an open loop keeps sending requests while earlier responses are outstanding', async t => {
   const target = new DelayTarget(200)
   const measurement = new LoadMeasurement()
   await new OpenLoop(2_000, new Random(7)).run(target, { requests: 50, durationMs: 60_000 }, measurement)
@@ -42,7 +42,7 @@
   t.true(measurement.latencyPercentileMs(50) >= 199)
 })
 
-test('a run ends at its time limit if the target is too slow to reach the request limit', async t => {
+test('a run ends at its time limit if the target is too slow to reach the request limit, so that a slow target does not hold it up', async t => {
   const measurement = new LoadMeasurement()
   await new ClosedLoop(1).run(new DelayTarget(10), { requests: 1_000_000, durationMs: 50 }, measurement)
   t.true(measurement.counts.answered < 10)
--- a/packages/bench/test/placement-bench.test.ts
+++ b/packages/bench/test/placement-bench.test.ts
@@ -11,7 +11,7 @@
   t.deepEqual(runs[0], runs[1])
 })
 
-test('every job of the load has a result, and none starts before its submission or ends before its run time', t => {
+test('every job has a result, none starts before its submission or completes before its run time, and utilisation is a share', t => {
   for (const policy of [new BuddyCellPolicy(), new FirstFitPolicy()]) {
     const load = generateLoad(settings, 4)
     const result = simulate(load, policy, defaultPlacementSettings)
@@ -24,8 +24,8 @@
 
 test('two of the four organisations submit about 80 % of the jobs', t => {
   const jobs = [1, 2, 3, 4, 5].flatMap(seed => generateLoad(benchLoadSettings(4), seed).jobs)
-  const large = jobs.filter(job => ['o1', 'o2'].includes(job.spec.organisationId)).length
-  t.true(Math.abs(large / jobs.length - 0.8) < 0.05, `${large / jobs.length}`)
+  const ofLargeOrganisations = jobs.filter(job => ['o1', 'o2'].includes(job.spec.organisationId)).length
+  t.true(Math.abs(ofLargeOrganisations / jobs.length - 0.8) < 0.05, `${ofLargeOrganisations / jobs.length}`)
 })
 
 test('quantile returns one of the values, and 0 for no values', t => {
--- a/packages/bench/test/routing-bench.test.ts
+++ b/packages/bench/test/routing-bench.test.ts
@@ -1,6 +1,6 @@
 import test from 'ava'
 import { drawArrival } from '../src/routing-load.js'
-import { measure, type RequestTrace } from '../src/routing-measures.js'
+import { computeMeasures, type RequestTrace } from '../src/routing-measures.js'
 import { RoutingSimulation } from '../src/routing-simulation.js'
 import { Random } from '@comfreygrade/core'
 
@@ -14,7 +14,7 @@
 }
 
 test('truthViolations counts each kind of contradiction between a reported outcome and the executions', t => {
-  const violations = (overrides: Partial<RequestTrace>) => measure([trace(overrides)], counts).truthViolations
+  const violations = (overrides: Partial<RequestTrace>) => computeMeasures([trace(overrides)], counts).truthViolations
   t.is(violations({ outcome: 'success' }), 0)
   t.is(violations({ outcome: 'success', executionCount: 2 }), 1)
   t.is(violations({ outcome: 'success', outcomeCount: 2 }), 1)
