--- a/packages/bench/src/batch-bench.ts
+++ b/packages/bench/src/batch-bench.ts
@@ -92,6 +92,7 @@
   return sum(values) / values.length
 }
 
+/** Returns the standard deviation of the values themselves, not the estimate from a sample. */
 function standardDeviation (values: readonly number[]): number {
   const centre = mean(values)
   return Math.sqrt(mean(values.map(value => (value - centre) ** 2)))
--- a/packages/bench/src/batch-load.ts
+++ b/packages/bench/src/batch-load.ts
@@ -152,6 +152,7 @@
   }
 }
 
+/** Draws a job. Its run time is at least 100 ms. */
 function drawJob (random: Random, kind: JobKind, arrivesAtMs: number, index: number): SimulatedJob {
   const factor = random.nextFloat() < LONG_RUN_SHARE ? LONG_RUN_FACTOR : 1
   const runMs = Math.max(100, drawLognormal(random, kind.meanRunMs, kind.runLogSigma) * factor)
--- a/packages/bench/src/batch-simulation.ts
+++ b/packages/bench/src/batch-simulation.ts
@@ -238,9 +238,10 @@
   return step.isCheckpointing ? Math.min(workedMs, MEAN_CHECKPOINT_LOSS_MS) : workedMs
 }
 
-/** Mean work lost since the latest checkpoint: half the checkpoint interval of a worker. */
+/** Mean work lost since the latest checkpoint: half of `CHECKPOINT_INTERVAL_MS` in `batch-worker.ts`. */
 const MEAN_CHECKPOINT_LOSS_MS = 250
 
+/** Returns one queue per job kind, and the four organisations from which `drawJobs` draws. */
 function queueDocument (kinds: readonly JobKind[]): QueueDocument {
   const organisations = [0, 1, 2, 3].map(index => ({
     name: `organisation-${index}`, apiKeys: [`key-${index}`], guaranteedAccelerators: 40
--- a/packages/bench/src/capacity-inventory-bench.ts
+++ b/packages/bench/src/capacity-inventory-bench.ts
@@ -88,6 +88,7 @@
   return Math.max(...statuses.map(status => status.configurationVersion))
 }
 
+/** Returns the size of the frame of a full copy, and the time to build its inventory and encode it. */
 function measureFullCopy (workers: number): { bytes: number, encodeMs: number } {
   const startedMs = performance.now()
   const frame = encodeFrame({
--- a/packages/bench/src/placement-load.ts
+++ b/packages/bench/src/placement-load.ts
@@ -160,6 +160,7 @@
 
   generateFaults (): WorkerFault[] {
     const faults: WorkerFault[] = []
+    // A lost worker returns after a mean of 30 minutes; a faulty one works again after a mean of 2 hours.
     for (const workerId of this.#configuration.workers.keys()) {
       faults.push(...this.#drawFaults('lost', workerId, WORKER_LOSS_MEAN_MS, 30 * MINUTE_MS))
       const faultyGapMs = 8 * 24 * HOUR_MS / FAULTY_WORKERS_PER_DAY_AND_RACK
--- a/packages/bench/src/routing-event-queue.ts
+++ b/packages/bench/src/routing-event-queue.ts
@@ -1,5 +1,6 @@
 /** Event queue of a discrete-event simulation, with its simulated clock. */
 
+/** `order` is the sequence number of scheduling. */
 interface ScheduledEvent { readonly atMs: number, readonly order: number, readonly callback: () => void }
 
 /** Runs callbacks in order of time, and in order of scheduling at the same time. The clock advances to each event. */
--- a/packages/bench/src/routing-simulation.ts
+++ b/packages/bench/src/routing-simulation.ts
@@ -247,6 +247,7 @@
 
   #submit (arrival: PlannedArrival): void {
     const region = drawWeighted(this.#random, REGIONS.map((each, index) => [each, regionShares[index]!]))
+    // A caller sends to an entry node of its own region.
     const regionalNodes = this.#nodes.filter(node => node.region === region)
     const node = regionalNodes[this.#random.nextInt(0, regionalNodes.length - 1)]!
     const requestId = `q${this.#traces.size}`
