--- a/packages/control/src/gang-life-cycle.ts
+++ b/packages/control/src/gang-life-cycle.ts
@@ -46,7 +46,7 @@
     const gang = this.#add(job, job.phase === 'running' ? 'started' : job.phase === 'starting' ? 'held' : 'ordered')
     if (isPreparing) gang.requestStop(requeueRequest('the leader changed during preparation'))
     if (job.phase === 'starting') this.#orderAllTasks(gang, 'start')
-    if (job.phase === 'stopping') this.#releaseTasks(gang, job, nowMs)
+    if (job.phase === 'stopping') this.#orderRelease(gang, job, nowMs)
     this.#advance(gang, nowMs)
   }
 
@@ -76,12 +76,12 @@
   onStopCommitted (job: JobRecord, nowMs: number): void {
     const gang = this.#find(job.spec.jobId, job.leaseId)
     if (gang === undefined) return
-    this.#releaseTasks(gang, job, nowMs)
+    this.#orderRelease(gang, job, nowMs)
     this.#advance(gang, nowMs)
   }
 
   /** Handles a committed command that released the cells of a job. */
-  onReleased (jobId: string, nowMs: number): void {
+  onCellsFreed (jobId: string, nowMs: number): void {
     const gang = this.#gangs.get(jobId)
     this.#deferredStops.delete(jobId)
     this.#schedulerDriver.remove(jobId, gang?.isReclaimed ?? false, nowMs)
@@ -206,7 +206,7 @@
     this.#queueOrder(gang, task, kind)
   }
 
-  #releaseTasks (gang: Gang, job: JobRecord, nowMs: number): void {
+  #orderRelease (gang: Gang, job: JobRecord, nowMs: number): void {
     const isCheckpoint = job.stop?.isCheckpoint ?? false
     for (const task of gang.tasks) {
       if (task.progress === 'released') continue
--- a/packages/control/src/leader-context.ts
+++ b/packages/control/src/leader-context.ts
@@ -5,7 +5,7 @@
 import type { PendingProposals } from './pending-proposals.js'
 import type { ControlSettings } from './settings.js'
 import type { ControlState } from './state.js'
-import type { WorkerSessions } from './worker-leases.js'
+import type { WorkerSessions } from './worker-sessions.js'
 
 /** Dependencies of one leader during its term. */
 export interface LeaderContext {
--- a/packages/control/src/leader.ts
+++ b/packages/control/src/leader.ts
@@ -8,7 +8,7 @@
 import { PendingProposals, type Proposal } from './pending-proposals.js'
 import { SchedulerDriver } from './scheduler-driver.js'
 import { WorkerAvailability } from './worker-availability.js'
-import { WorkerSessions } from './worker-leases.js'
+import { WorkerSessions } from './worker-sessions.js'
 import { WorkerService } from './worker-service.js'
 import type { CommandResult, ControlCommand } from './commands.js'
 import type { ControlEffect, ControlEvent } from './orders.js'
@@ -107,7 +107,7 @@
       }
     }
     for (const job of this.#jobsInPhase('waiting')) this.#enqueue(job, nowMs)
-    this.#workers.releaseTasksOfLostWorkers(nowMs)
+    this.#workers.markTasksOfLostWorkersReleased(nowMs)
   }
 
   #jobsInPhase (phase: JobRecord['phase']): JobRecord[] {
@@ -205,7 +205,7 @@
   /** The type matches the kinds of all commands about a job, such as `submit_job` and `job_running`. */
   #onJobChanged (command: Extract<ControlCommand, { kind: `${string}job${string}` }>, index: number, nowMs: number): void {
     const jobId = command.kind === 'submit_job' ? command.spec.jobId : command.jobId
-    if (command.kind === 'end_job' || command.kind === 'requeue_job') this.#gangs.onReleased(jobId, nowMs)
+    if (command.kind === 'end_job' || command.kind === 'requeue_job') this.#gangs.onCellsFreed(jobId, nowMs)
     const job = this.#context.state.job(jobId)
     if (job === undefined) return
     switch (command.kind) {
--- a/packages/control/src/order-outbox.ts
+++ b/packages/control/src/order-outbox.ts
@@ -2,7 +2,7 @@
 import { DeadlineQueue } from './deadline-queue.js'
 import type { ControlEffect, OrderResult, WorkerOrder } from './orders.js'
 import type { ControlSettings } from './settings.js'
-import type { WorkerSession } from './worker-leases.js'
+import type { WorkerSession } from './worker-sessions.js'
 
 /** An order without the fields that are added when it is sent. */
 export type TaskOrder = Omit<WorkerOrder, 'incarnation' | 'leaseMs'>
--- a/packages/control/src/worker-service.ts
+++ b/packages/control/src/worker-service.ts
@@ -5,7 +5,7 @@
 import { LeadershipProof } from './leadership-proof.js'
 import type { ControlAnswer, ControlResult } from './operations.js'
 import type { LeaderContext } from './leader-context.js'
-import type { ReportFreshness, WorkerSession } from './worker-leases.js'
+import type { ReportFreshness, WorkerSession } from './worker-sessions.js'
 import type { WorkerAvailability } from './worker-availability.js'
 import type { WorkerRecord } from './workers.js'
 
@@ -43,7 +43,7 @@
   }
 
   /** Releases the tasks on workers that are recorded as lost. Must be called after the gangs are resumed. */
-  releaseTasksOfLostWorkers (nowMs: number): void {
+  markTasksOfLostWorkersReleased (nowMs: number): void {
     for (const { workerId, state } of this.#context.state.workers()) {
       if (state === 'lost') this.#gangs.onWorkerGone(workerId, `worker ${workerId} is lost`, nowMs)
     }
@@ -127,7 +127,7 @@
   }
 
   tick (nowMs: number): void {
-    for (const session of this.#context.sessions.takeExpired(nowMs)) this.#onLeaseExpired(session, nowMs)
+    for (const session of this.#context.sessions.endExpiredLeases(nowMs)) this.#onLeaseExpired(session, nowMs)
     for (const workerId of this.#proposalRetries.takeDue(nowMs)) this.#reconcile(workerId, nowMs)
   }
 
--- a/packages/control/src/worker-leases.ts
+++ b/packages/control/src/worker-sessions.ts
@@ -59,7 +59,7 @@
   }
 
   /** Ends the leases that have certainly expired on their workers, and returns their sessions. */
-  takeExpired (nowMs: number): WorkerSession[] {
+  endExpiredLeases (nowMs: number): WorkerSession[] {
     const expired: WorkerSession[] = []
     for (const workerId of this.#expiries.takeDue(nowMs)) {
       const session = this.#sessions.get(workerId)
--- a/packages/control/test/fake-worker.ts
+++ b/packages/control/test/fake-worker.ts
@@ -62,13 +62,13 @@
     this.#record = record
   }
 
-  get isReachable (): boolean {
+  get isProcessRunning (): boolean {
     return !this.isCrashed && !this.isFrozen
   }
 
   /** Advances time: tasks complete, and all are released when the lease expires. */
   advance (nowMs: number): void {
-    if (!this.isReachable) return
+    if (!this.isProcessRunning) return
     for (const task of this.#tasks.values()) {
       const completionMs = (task.execution?.startMs ?? 0) + this.runMs
       if (task.state !== 'running' || completionMs > Math.min(nowMs, this.#leaseEndMs)) continue
@@ -133,7 +133,7 @@
 
   renew (lease: Lease, report: WorkerReport, sentMs: number, nowMs: number): void {
     this.advance(nowMs)
-    if (!this.isReachable || report.incarnation !== this.#incarnation || lease.term < this.#highestTerm) return
+    if (!this.isProcessRunning || report.incarnation !== this.#incarnation || lease.term < this.#highestTerm) return
     this.#highestTerm = lease.term
     this.#leaseEndMs = Math.max(this.#leaseEndMs, sentMs + lease.leaseMs / this.#clockRate)
     for (const task of lease.stopTasks) this.#stopTask(`${task.leaseId}/${task.taskIndex}`, nowMs)
--- a/packages/control/test/simulation.ts
+++ b/packages/control/test/simulation.ts
@@ -179,7 +179,7 @@
   }
 
   sendReport (worker: FakeWorker): void {
-    if (!worker.isReachable) return
+    if (!worker.isProcessRunning) return
     this.#send({ kind: 'report', report: worker.report(this.nowMs), sentMs: this.nowMs })
   }
 
@@ -291,7 +291,7 @@
 
   #deliverOrders ({ orderId, workerId, term, orders }: SendOrders): void {
     const worker = this.worker(workerId)
-    if (!worker.isReachable) return
+    if (!worker.isProcessRunning) return
     this.#send({ kind: 'answer', workerId, messageId: orderId, results: worker.receive(term, orders, this.nowMs) })
   }
 
