--- a/packages/control/src/cell-allocations.ts
+++ b/packages/control/src/cell-allocations.ts
@@ -30,7 +30,7 @@
     }
   }
 
-  release (jobId: string, placement: Placement): void {
+  free (jobId: string, placement: Placement): void {
     for (const { workerId } of placement.tasks) {
       const remaining = this.forWorker(workerId).filter(allocation => allocation.jobId !== jobId)
       if (remaining.length === 0) this.#byWorker.delete(workerId)
--- a/packages/control/src/claims.ts
+++ b/packages/control/src/claims.ts
@@ -55,7 +55,7 @@
     return this.#claims.get(claimId(organisationId, key.toLowerCase()))
   }
 
-  /** Returns all claims in commit order. */
+  /** Returns all claims in the order of their first grant; one that is granted again keeps its position. */
   records (): ClaimRecord[] {
     return [...this.#claims.values()]
   }
@@ -69,8 +69,10 @@
   }
 
   /**
-   * Grants a new claim, or returns the existing one with `granted: false`. A claim settled as `not_run` is granted
-   * again: its caller was told to repeat the request, and no earlier dispatch can be in progress.
+   * Grants a new claim, grants an existing one again, or returns the existing one with `granted: false`. A pending
+   * claim is granted again to its own claimant, which did not receive the first answer. A claim settled as `not_run`
+   * is granted again to any request: its caller was told to repeat the request, and no earlier dispatch can be in
+   * progress.
    */
   claim (command: ClaimCommand, logTimeMs: number, maxDeadlineMs: number): CommandResult {
     const key = parseIdempotencyKey(command.key)
@@ -93,7 +95,8 @@
       claimedLogMs: logTimeMs,
       settledIndex: 0
     }
-    // An existing claim keeps its expiry bucket: the key is refused as expired before that bucket is removed.
+    // An existing claim keeps its expiry bucket, although `restore` derives a bucket from the new `claimedLogMs`. The
+    // key is refused as expired before either bucket is removed.
     if (existing === undefined) this.#add(record, key.issuedMs)
     else this.#claims.set(claimId(record.organisationId, record.key), record)
     return { kind: 'claimed', granted: true, claim: toClaimView(record, logTimeMs, maxDeadlineMs) }
@@ -124,7 +127,7 @@
     for (; this.#nextBucket < endBucket; this.#nextBucket += 1) this.#removeBucket(this.#nextBucket)
   }
 
-  /** Restores the records of a snapshot, which are in commit order. */
+  /** Restores the records of a snapshot, in the order of `records`. */
   restore (records: readonly ClaimRecord[]): void {
     for (const record of records) {
       const key = parseIdempotencyKey(record.key)
--- a/packages/control/src/commands.ts
+++ b/packages/control/src/commands.ts
@@ -19,8 +19,8 @@
   | { readonly kind: 'start_job', readonly jobId: string, readonly leaseId: number }
   | { readonly kind: 'job_running', readonly jobId: string, readonly leaseId: number }
   /**
-   * Releases every task of the placement that `leaseId` identifies. A later command may replace a requeue by an
-   * outcome, but not the reverse.
+   * Starts the release of every task of the placement that `leaseId` identifies; its cells stay allocated. A later
+   * command may replace a requeue by an outcome, but not the reverse.
    */
   | {
     readonly kind: 'stop_job'
@@ -30,8 +30,9 @@
     readonly isCheckpoint: boolean
     readonly then: StopGoal
   }
+  /** Frees the cells of a stopping job, which waits again. Proposed once every task is released or completed. */
   | { readonly kind: 'requeue_job', readonly jobId: string, readonly leaseId: number, readonly reason: string }
-  /** `leaseId` identifies the placement; it is 0 for a job without one. */
+  /** Ends a job and frees its cells. `leaseId` identifies the placement; it is 0 for a job without one. */
   | {
     readonly kind: 'end_job'
     readonly jobId: string
--- a/packages/control/src/gang-life-cycle.ts
+++ b/packages/control/src/gang-life-cycle.ts
@@ -1,6 +1,7 @@
 /**
- * Life cycle of placed gangs. All tasks of a gang are prepared before any of them starts, and all are released before
- * any of its cells is allocated again.
+ * Life cycle of placed gangs. All tasks of a gang are prepared before any of them starts, and none of them runs any
+ * more when its cells are allocated again. The workers confirm that the accelerators are free too, except after the
+ * release time-out of a gang that never started (`unstartedReleaseWaitMs`).
  */
 import type { TaskReport } from '@comfreygrade/core'
 import { DeadlineQueue, earliest } from './deadline-queue.js'
@@ -40,7 +41,12 @@
     return this.#gangs.size
   }
 
-  /** Takes over a placed job at the start of a term. The present state of its tasks is unknown. */
+  /**
+   * Takes over a placed job at the start of a term. Each task is assumed to be as far as the phase of the job
+   * guarantees; worker reports and answers to orders correct this. A gang that was still preparing is requeued. For a
+   * stopping gang `ordered` is safe: every task is ordered again to stop or to write a checkpoint, whatever its worker
+   * did before.
+   */
   resume (job: JobRecord, nowMs: number): void {
     const isPreparing = job.phase === 'preparing'
     const gang = this.#add(job, job.phase === 'running' ? 'started' : job.phase === 'starting' ? 'held' : 'ordered')
@@ -72,7 +78,7 @@
     this.#advance(gang, nowMs)
   }
 
-  /** Handles a committed `stop_job`: releases every task, with a checkpoint if the command says so. */
+  /** Handles a committed `stop_job`: orders every worker to stop its task, with a checkpoint if the command says so. */
   onStopCommitted (job: JobRecord, nowMs: number): void {
     const gang = this.#find(job.spec.jobId, job.leaseId)
     if (gang === undefined) return
@@ -80,7 +86,7 @@
     this.#advance(gang, nowMs)
   }
 
-  /** Handles a committed command that released the cells of a job. */
+  /** Handles a committed `requeue_job` or `end_job`, which freed the cells of the job if it had any. */
   onCellsFreed (jobId: string, nowMs: number): void {
     const gang = this.#gangs.get(jobId)
     this.#deferredStops.delete(jobId)
--- a/packages/control/src/gang.ts
+++ b/packages/control/src/gang.ts
@@ -5,7 +5,8 @@
 
 /**
  * Progress of a task as far as the leader knows: `ordered` until its worker accepted `prepare`, `held` from then until
- * it starts (workers report it as `prepared`), and `released` once it certainly neither runs nor holds accelerators.
+ * it starts (workers report it as `prepared`), and `released` once it certainly does not run. A released task holds no
+ * accelerators either, except after the release time-out of a gang that never started (`unstartedReleaseWaitMs`).
  */
 export type TaskProgress = 'ordered' | 'held' | 'started' | 'completed' | 'released'
 
--- a/packages/control/src/jobs.ts
+++ b/packages/control/src/jobs.ts
@@ -130,7 +130,7 @@
     const job = this.#jobs.get(jobId)
     if (job?.phase === 'stopping' && job.stop?.then !== 'requeue') return refuseWrongPhase(job)
     return this.#withPlacement(jobId, leaseId, ['stopping'], stopping => {
-      this.#releaseCells(stopping)
+      this.#freeCells(stopping)
       this.#update(stopping, { phase: 'waiting', placement: null, leaseId: 0, stop: null, detail: reason }, at)
     })
   }
@@ -140,7 +140,7 @@
     const job = this.#jobs.get(jobId)
     if (job !== undefined && !canEnd(job, outcome)) return refuseWrongPhase(job)
     return this.#withPlacement(jobId, leaseId, ['waiting', 'starting', 'running', 'stopping'], open => {
-      this.#releaseCells(open)
+      this.#freeCells(open)
       this.#update(open, { phase: 'ended', outcome, placement: null, leaseId: 0, stop: null, detail: reason }, at)
       this.#endedByAge.push(jobId)
       this.#adjustOpenCount(open.spec.organisationId, -1)
@@ -188,8 +188,8 @@
     this.#idsByPhase.idsInPhase(changed.phase).add(jobId)
   }
 
-  #releaseCells (job: JobRecord): void {
-    if (job.placement !== null) this.allocations.release(job.spec.jobId, job.placement)
+  #freeCells (job: JobRecord): void {
+    if (job.placement !== null) this.allocations.free(job.spec.jobId, job.placement)
   }
 
   /**
--- a/packages/control/src/operations.ts
+++ b/packages/control/src/operations.ts
@@ -132,7 +132,10 @@
     readonly drains: readonly Drain[]
     readonly backendServers: readonly BackendServerRecord[]
   }
-  /** `granted` permits exactly one dispatch; without it, `claim` is the existing claim. */
+  /**
+   * `granted` permits the claimant one dispatch, however often the grant is answered; without it, `claim` is the
+   * existing claim.
+   */
   | { readonly kind: 'claim', readonly granted: boolean, readonly claim: ClaimView }
   | { readonly kind: 'done' }
 
--- a/packages/control/src/orders.ts
+++ b/packages/control/src/orders.ts
@@ -14,10 +14,13 @@
  * - `prepare` reserves the accelerators and runs nothing; it is refused if another task holds one of them.
  * - `start` is idempotent: a task that already runs or has ended accepts it again. Without a prepared task the result
  *   is `unknown_lease`: the worker does not know the placement.
- * - `checkpoint` is accepted when it begins; the task is reported as `stopped` once the checkpoint is complete.
+ * - `checkpoint` is accepted when it begins; the task is reported as `stopped` once the checkpoint is complete. For a
+ *   placement that the worker does not know, the result is `unknown_lease`.
  * - `stop` is accepted once the task no longer runs and its accelerators are free. The worker refuses the placement
  *   from then on, whether it knew it or not, because a reordered `prepare` may still arrive. The same applies to a
- *   placement that it released when its lease expired.
+ *   placement that it released when its lease expired. For a placement that the worker does not know, the result is
+ *   `accepted` or `unknown_lease`, which mean the same to the leader.
+ * - `unknown_lease` therefore proves to the leader that the task neither runs nor holds accelerators.
  * - `throttle` is supported by workers, but this leader never sends it and ignores its outcome.
  * - An ended task holds no accelerators and is reported until the leader tells the worker to stop it.
  */
@@ -37,7 +40,7 @@
   readonly acceleratorCount: number
   /** Worker process that the order is for. A later process does not know what an earlier one released. */
   readonly incarnation: number
-  /** Duration of the worker lease, which an order does not renew. */
+  /** The leader's setting `leaseMs`, for information only: an order does not renew the worker lease. */
   readonly leaseMs: number
 }
 
@@ -49,7 +52,11 @@
   | { readonly kind: 'operation', readonly requestId: string, readonly operation: ControlOperation }
   /** A committed entry was applied to the state, which may have refused its command. */
   | { readonly kind: 'applied', readonly proposalId: string, readonly index: number, readonly command: ControlCommand, readonly result: CommandResult }
-  /** `not_applied` means that the command certainly never takes effect. Defaults to `unknown`. */
+  /**
+   * Consensus did not report the proposed command as committed. With `not_applied` it certainly never takes effect;
+   * with `unknown`, the default, it may still be committed. Such a command is called rejected; a refused one was
+   * committed, but its precondition did not hold (`applied` with a `refused` result).
+   */
   | {
     readonly kind: 'proposal_rejected'
     readonly proposalId: string
@@ -59,6 +66,10 @@
   | { readonly kind: 'orders_answered', readonly orderId: string, readonly results: readonly OrderResult[] }
   /** The worker was unreachable or did not answer; the orders may have arrived. */
   | { readonly kind: 'orders_failed', readonly orderId: string }
+  /**
+   * A report that is handled like the operation `report_worker`, but not answered, so that the worker gets no lease for
+   * it. The control nodes use the operation.
+   */
   | { readonly kind: 'worker_reported', readonly report: WorkerReport }
   | { readonly kind: 'tick' }
 
--- a/packages/control/src/ports.ts
+++ b/packages/control/src/ports.ts
@@ -12,7 +12,10 @@
  * Gang scheduler as seen by the control leader.
  *
  * The scheduler tracks a job from its submission or restoration until it is ended or reclaimed, or is cancelled while
- * it waits. None of these calls requeues the job: the leader submits a requeued job again. All ignore an unknown job.
+ * it waits. None of these calls requeues the job; all ignore an unknown job. The leader requeues a placed job by
+ * removing it as ended or reclaimed and submitting it again in the same event, before the next scheduling pass. It is
+ * then still the same job, which keeps its place in the queue and the record of the workers on which it failed. A job
+ * may also be restored directly after its removal, if the placement that the scheduler knows is not the committed one.
  */
 export abstract class JobScheduler {
   /** Replaces the configuration; joined workers and placed jobs are kept. */
@@ -27,13 +30,13 @@
   abstract submit (job: JobSpec, nowMs: number): Failure | undefined
   /** Adds a job that is already placed, for example after a change of leader. Its workers may not have joined. */
   abstract restore (job: JobSpec, placement: Placement, startedMs: number): void
-  /** Removes a waiting job. A placed one keeps its cells until they are released, but its run time does not count. */
+  /** Removes a waiting job. A placed one keeps its cells until it is removed, but its run time does not count. */
   abstract cancel (jobId: string, nowMs: number): void
   /** Records that a task of a job failed on a worker. The job keeps its cells until it is ended or reclaimed. */
   abstract taskFailed (jobId: string, workerId: string, nowMs: number): void
-  /** Removes a placed job whose tasks are all released. */
+  /** Removes a placed job. Its tasks are all released or completed, or its placement was rejected or refused. */
   abstract ended (jobId: string, nowMs: number): void
-  /** Removes a placed job that the scheduler reclaimed, once its tasks are all released. */
+  /** Like the removal of an ended job, for one that the leader stopped because of a `reclaim` decision. */
   abstract reclaimed (jobId: string, nowMs: number): void
   /**
    * Runs a scheduling pass. A job of a returned `place` decision counts as placed from then on, before its command is
--- a/packages/control/src/scheduler-driver.ts
+++ b/packages/control/src/scheduler-driver.ts
@@ -49,7 +49,7 @@
     this.requestPass()
   }
 
-  /** Removes a job from the scheduler: it ended, released its cells, or a proposal for it was rejected or refused. */
+  /** Removes a job from the scheduler: it ended, its cells were freed, or a proposal for it was rejected or refused. */
   remove (jobId: string, isReclaimed: boolean, nowMs: number): void {
     const phase = this.#phases.get(jobId)
     if (phase === undefined) return
--- a/packages/control/src/state.ts
+++ b/packages/control/src/state.ts
@@ -22,7 +22,7 @@
   readonly configuration: ConfigurationSnapshot
   /** In submission order. */
   readonly jobs: readonly JobRecord[]
-  /** In commit order. */
+  /** In the order of their first grant. */
   readonly claims: readonly ClaimRecord[]
   readonly workers: readonly WorkerRecord[]
   readonly drains: readonly Drain[]
@@ -81,7 +81,9 @@
    * Applies the command of one log entry. Each entry must be applied once, in log order.
    *
    * @param logTimeMs log time of the entry: recorded by the leader that appended it, the same on every replica, and
-   * never decreasing along the log. It advances with the leader's monotonic clock and stands still without a leader.
+   * never decreasing along the log. It is in milliseconds since the Unix epoch: the first leader takes the wall time at
+   * which its replica was created, and from there it advances with the monotonic clock of each leader. It stands still
+   * without a leader.
    */
   apply (command: ControlCommand, index: number, logTimeMs: number): CommandResult {
     if (index <= this.#lastIndex) throw new RangeError(`log entry ${index} cannot be applied after entry ${this.#lastIndex}`)
@@ -198,8 +200,8 @@
       case 'start_job': return this.#jobs.start(command, at)
       case 'job_running': return this.#jobs.markRunning(command, at)
       case 'stop_job': return this.#jobs.stop(command, at)
-      case 'requeue_job': return this.#applyRelease(command.jobId, () => this.#jobs.requeue(command, at))
-      case 'end_job': return this.#applyRelease(command.jobId, () => this.#jobs.end(command, at))
+      case 'requeue_job': return this.#applyFreeingCells(command.jobId, () => this.#jobs.requeue(command, at))
+      case 'end_job': return this.#applyFreeingCells(command.jobId, () => this.#jobs.end(command, at))
       case 'worker_state': return this.#setWorkerState(command)
       case 'set_drain': return this.#setDrain(command)
       case 'claim_request': return this.#claim(command, at)
@@ -267,8 +269,8 @@
       : refuseUnknownOrganisation(command.organisationId)
   }
 
-  /** Applies a command that may release the cells of a job, and deletes removed workers that have no cells left. */
-  #applyRelease (jobId: string, apply: () => CommandResult): CommandResult {
+  /** Applies a command that may free the cells of a job, and deletes removed workers that have no cells left. */
+  #applyFreeingCells (jobId: string, apply: () => CommandResult): CommandResult {
     const tasks = this.#jobs.get(jobId)?.placement?.tasks ?? []
     const result = apply()
     for (const { workerId } of tasks) {
--- a/packages/control/src/worker-availability.ts
+++ b/packages/control/src/worker-availability.ts
@@ -3,7 +3,10 @@
 import type { LeaderContext } from './leader-context.js'
 import type { SchedulerDriver } from './scheduler-driver.js'
 
-/** An excluded worker counts as draining: it gets no new tasks, and its running tasks keep their cells. */
+/**
+ * `draining` covers workers that announced their leave, are drained by an operator or are excluded: they get no new
+ * tasks, and their running tasks keep their cells.
+ */
 type SchedulerAvailability = 'available' | 'draining' | 'lost'
 
 /** Derives the availability of each worker and notifies the scheduler of changes. */
--- a/packages/control/src/worker-service.ts
+++ b/packages/control/src/worker-service.ts
@@ -42,7 +42,7 @@
     }
   }
 
-  /** Releases the tasks on workers that are recorded as lost. Must be called after the gangs are resumed. */
+  /** Marks the tasks on workers that are recorded as lost as released. Must be called after the gangs are resumed. */
   markTasksOfLostWorkersReleased (nowMs: number): void {
     for (const { workerId, state } of this.#context.state.workers()) {
       if (state === 'lost') this.#gangs.onWorkerGone(workerId, `worker ${workerId} is lost`, nowMs)
--- a/packages/control/src/workers.ts
+++ b/packages/control/src/workers.ts
@@ -6,6 +6,10 @@
 /** Stored worker. Records are immutable. */
 export interface WorkerRecord {
   readonly workerId: string
+  /**
+   * `draining`: the worker announced that it is leaving. A drain by an operator is kept in `DrainSet` instead, and
+   * quarantine is known to the scheduler only, so the state is never `quarantined`.
+   */
   readonly state: WorkerState
   /** Number of the worker process. A later process has none of the tasks of an earlier one. */
   readonly incarnation: number
