--- a/packages/placement/src/fleet-report.ts
+++ b/packages/placement/src/fleet-report.ts
@@ -9,7 +9,7 @@
 export interface FleetReportInput {
   readonly fleet: Fleet
   readonly jobs: readonly JobRecord[]
-  /** Number of jobs in state `waiting`. The report has its own count, which includes jobs in state `claiming`. */
+  /** Number of jobs in state `waiting`. Unused: the report also counts jobs in state `claiming`. */
   readonly waitingJobs: number
   readonly quarantinedWorkerIds: readonly string[]
   readonly drainingWorkerIds: readonly string[]
--- a/packages/placement/src/fleet.ts
+++ b/packages/placement/src/fleet.ts
@@ -134,7 +134,11 @@
     return found
   }
 
-  /** Cells of a level within `root` that are free, or occupied only by preemptible jobs that `isVictim` accepts. */
+  /**
+   * Cells of a level within `root` that are free, reserved, or occupied only by preemptible jobs that `isVictim`
+   * accepts. Start-time reservations do not keep cells from guaranteed jobs, nor from urgent jobs that may preempt; a
+   * reservation whose cells are taken stays until it ends or is recalculated, although its start may no longer hold.
+   */
   candidatesWithin (
     root: number, level: number, isVictim: VictimFilter, costOf: (job: JobRecord) => number
   ): CandidateCell[] {
--- a/packages/placement/src/job-explainer.ts
+++ b/packages/placement/src/job-explainer.ts
@@ -83,7 +83,7 @@
     if (reservation !== undefined) blockers.add(reservation.job)
     const startMs = Math.max(forecast.startMs, reservation?.startMs ?? 0)
     const reason = forecast.blockers.size === 0
-      ? 'free cells are reserved for jobs ahead of it'
+      ? 'the free cells are reserved, needed by guarantees or unusable for the job, or it was not tried yet'
       : `fewer than ${job.spec.tasks} suitable free cells with adjacency ${job.spec.adjacency}`
     return explainWait(jobId, reason, blockers, startMs - nowMs)
   }
--- a/packages/placement/src/plan-finder.ts
+++ b/packages/placement/src/plan-finder.ts
@@ -49,7 +49,7 @@
 
   /**
    * Finds a plan. Free cells come first, so that guaranteed cells are bound and jobs preempted only if the gang does
-   * not fit into free cells.
+   * not fit into free cells, or if the free cells found exceed the remaining quota.
    *
    * @param remainingQuota most accelerators of a plan on lent capacity; a guaranteed plan is not compared with it
    */
--- a/packages/placement/src/preemption-search.ts
+++ b/packages/placement/src/preemption-search.ts
@@ -28,7 +28,11 @@
   readonly binding: Binding
 }
 
-/** Finds cells with the lowest total cost of preempting the jobs that occupy them. */
+/**
+ * Finds cells within one pool with a low total cost of preempting the jobs that occupy them. The searches need not find
+ * the lowest cost: they are greedy, need not search all racks, and count a job once for each chosen cell that it
+ * occupies. A gang with adjacency `none` is not spread over several pools here, unlike in free cells.
+ */
 export class PreemptionSearch {
   readonly #fleet: Fleet
   readonly #settings: PlacementSettings
@@ -52,7 +56,7 @@
   }
 
   /**
-   * Finds a plan on lent capacity by preempting other jobs there.
+   * Finds a plan on lent capacity by preempting other jobs there, in the first pool that has one.
    *
    * @param isVictim whether a job may be preempted
    */
@@ -105,7 +109,7 @@
       const allocation = this.#allocate(shape, states, domain)
       if (allocation === undefined) continue
       this.#releaseBindings(allocation.newBindings)
-      // At equal cost, the domain that needs fewer new bindings is preferred.
+      // Each new binding adds 1, so several new bindings can cost more than preempting a job of low cost.
       const cost = totalCost(allocation.candidates) + allocation.newBindings.length
       if (cost < bestCost) [best, bestCost] = [domain, cost]
       if (totalCost(allocation.candidates) === 0) break
--- a/packages/placement/src/reclaim-check.ts
+++ b/packages/placement/src/reclaim-check.ts
@@ -1,4 +1,7 @@
-/** The reclaim invariant: the free cells can be split into all guaranteed cells, checked level by level. */
+/**
+ * The reclaim invariant, checked level by level: the cells that are not committed, including those lent to preemptible
+ * jobs, can be split into all unbound guaranteed cells.
+ */
 import { type Configuration, type Failure, type Guarantee, failure } from '@comfreygrade/core'
 import { buildCellTree, smallestLevelHolding } from './cells.js'
 import { FreeCellIndex } from './occupancy.js'
@@ -7,7 +10,7 @@
  * Counts missing cells by level. Fitting greedily from the highest level down is exact for power-of-two sizes: each
  * cell that one level does not need is split in two for the next.
  *
- * @param free number of maximal free cells by level
+ * @param free number of maximal uncommitted cells by level
  * @param demand number of required cells by level
  * @returns the number of cells of each level that do not fit; all zero if the invariant holds
  * @example
--- a/packages/placement/src/reservation-table.ts
+++ b/packages/placement/src/reservation-table.ts
@@ -6,7 +6,7 @@
 import type { JobRecord } from './job-record.js'
 import type { Reservation } from './start-forecaster.js'
 
-/** Keeps reserved cells marked as used, so that backfilled jobs do not take them. */
+/** Keeps reserved cells marked as used, so that backfilled jobs do not take them; guaranteed and urgent plans may. */
 export class ReservationTable {
   readonly #fleet: Fleet
   readonly #byModel = new Map<string, Reservation>()
--- a/packages/placement/src/scheduler.ts
+++ b/packages/placement/src/scheduler.ts
@@ -26,7 +26,10 @@
 /** Minimum of this extension. */
 const OVERRUN_EXTENSION_MIN_MS = 1_000
 
-/** Result of a trial: one attempt to place a waiting job. */
+/**
+ * Result of a trial: one attempt to place a waiting job. `over_quota` means that even the smallest plan exceeds the
+ * remaining quota; if only the plans that were found exceed it, the result is `no_fit`.
+ */
 type TrialResult = 'placed' | 'claimed' | 'no_fit' | 'over_quota' | 'stopped'
 
 /** Entry of the heap of a pass: a job that may be tried, usually the first one of an open group. */
@@ -341,7 +344,8 @@
     const isAvailable = this.#isInService(workerId)
     if (worker === undefined || this.#fleet.isAvailable(workerId) === isAvailable) return
     this.#fleet.setAvailable(workerId, isAvailable)
-    // Also after a loss, so that the jobs of the model are tried again with the changed set of workers.
+    // Also after a loss: the reservation holder is tried again, and a job that fits only on workers where its tasks
+    // failed is stopped.
     this.#freedModels.add(worker.acceleratorModel)
     if (isAvailable) return
     for (const job of this.#fleet.claimantsOnWorker(workerId)) this.#requeueClaim(job)
@@ -564,14 +568,15 @@
   }
 
   /**
-   * Stops a job that could be held by the available workers, but not without those on which its tasks failed.
+   * Stops a job that one pool of available workers could hold, but none without the workers on which its tasks failed.
+   * Workers that are lost, draining or quarantined are not available; a spread over several pools is not considered.
    *
    * @returns whether the job was stopped
    */
   #stopIfNoWorkerRemains (job: JobRecord): boolean {
     if (job.failedWorkerIds.size === 0 || !this.#canFitEventually(job)) return false
     if (this.#fleet.withoutWorkers(job.failedWorkerIds, () => this.#canFitEventually(job))) return false
-    this.#stop(job, `tasks failed on ${[...job.failedWorkerIds].join(', ')}, no other available workers can hold the gang`)
+    this.#stop(job, `tasks failed on ${[...job.failedWorkerIds].join(', ')}, no other available workers of one type can hold the gang`)
     return true
   }
 
@@ -590,8 +595,9 @@
   // Reservations
 
   /**
-   * Tries a job in its reserved and all other free cells; keeps or recalculates the reservation if it does not fit. The
-   * reserved cells count as freed capacity while it is tried, and afterwards if the reservation ends.
+   * Tries a job in its reserved and all other free cells. If it does not fit, the reservation is kept or recalculated;
+   * recalculation ends it if there is no forecast. The reserved cells count as freed capacity during the trial, and
+   * afterwards unless its result is `no_fit`.
    */
   #tryReservationHolder (job: JobRecord): TrialResult {
     const model = job.spec.acceleratorModel
--- a/packages/placement/test/random-events.test.ts
+++ b/packages/placement/test/random-events.test.ts
@@ -16,7 +16,11 @@
   size: number
 }
 
-/** `lose` and `join` concern a worker, `fail` a task, `leave` all preempted jobs, which vacate their cells. */
+/**
+ * `pick` selects a placed job for `end`, `requeue` and `fail` (one of its tasks fails), any submitted job for `cancel`,
+ * and a worker for `lose` and `join`. With `leave`, all preempted jobs vacate their cells. `configure` applies an equal
+ * configuration with a copied map of workers, so that the fleet state is rebuilt.
+ */
 type EventStep =
   | SubmitStep
   | { kind: 'end' | 'cancel' | 'fail' | 'requeue' | 'lose' | 'join' | 'leave' | 'configure', pick: number }
@@ -90,6 +94,7 @@
   }
 
   #submit ({ kind, tasks, size, ...rest }: SubmitStep): void {
+    // The job class is `submit` for all jobs.
     const needs = { acceleratorsPerTask: size, coresPerTask: 1, memoryGbPerTask: 1, declaredRunMs: 5000 }
     const spec = { ...rest, ...needs, jobId: `j${this.#jobs++}`, jobClass: kind, tasks, acceleratorModel: 'gpu' }
     if (this.scheduler.submit(spec, this.nowMs) === undefined) this.specs.set(spec.jobId, spec)
--- a/packages/placement/test/scheduler.test.ts
+++ b/packages/placement/test/scheduler.test.ts
@@ -276,7 +276,7 @@
   t.deepEqual(jobIds(scheduler.pass(1), 'place'), ['a'])
 })
 
-test('a new leader that restores the placements has the same cells, guarantees and quotas in use', t => {
+test('a new leader that restores the placements has the same fleet report, and all cells free once the jobs end', t => {
   const scheduler = startScheduler(halfGuaranteed)
   const lent = [1, 2, 3, 4].map(number => job(`lent${number}`, { organisationId: 'o2' }))
   const specs = new Map([job('own', { tasks: 2 }), ...lent].map(spec => [spec.jobId, spec]))
