--- a/packages/routing/src/admission.ts
+++ b/packages/routing/src/admission.ts
@@ -4,7 +4,10 @@
 import type { ServiceQueues } from './service-queues.js'
 import type { RoutingSettings } from './settings.js'
 
-/** Refuses requests whose expected wait and service time exceed the time left until their deadline. */
+/**
+ * Refuses requests whose expected wait and typical service time exceed the time left until their deadline. The setting
+ * `startMarginFactor` does not apply here, only to waiting requests.
+ */
 export class Admission {
   readonly #settings: RoutingSettings
   readonly #serviceTimes: ServiceTimeEstimator
@@ -28,7 +31,8 @@
     if (expectedWaitMs === 0 || latenessMs <= 0) return undefined
     const detail = `expected wait ${Math.round(expectedWaitMs)} ms and service time ${Math.round(serviceTimeMs)} ms, ` +
       `${Math.round(spec.deadlineAtMs - nowMs)} ms left before the deadline`
-    // After this delay, the same request is expected to be served in time, unless `maxRetryAfterMs` shortens it.
+    // After this delay, the same request is expected to be admitted, unless `maxRetryAfterMs` shortens the delay. It
+    // may still be refused while it waits, as the dispatcher requires `startMarginFactor` times its service time.
     return failure('deadline_unreachable', detail, this.retryAfterMs(latenessMs))
   }
 
--- a/packages/routing/src/attempt-observer.ts
+++ b/packages/routing/src/attempt-observer.ts
@@ -1,6 +1,6 @@
 /** Feeds the results of attempts into server health, concurrency limits and service time estimates. */
 import type { RequestSpec } from '@comfreygrade/core'
-import type { Attempt, RetryReason } from './open-request.js'
+import type { Attempt, RetryReason } from './held-request.js'
 import type { ServerPool } from './server-pool.js'
 import type { ServiceTimeEstimator } from './service-time-estimator.js'
 import type { RoutingSettings } from './settings.js'
--- a/packages/routing/src/attempt-timing.ts
+++ b/packages/routing/src/attempt-timing.ts
@@ -1,6 +1,6 @@
 /** Attempt timeouts and retry backoff. */
 import type { Random } from '@comfreygrade/core'
-import type { OpenRequest } from './open-request.js'
+import type { HeldRequest } from './held-request.js'
 import type { ServiceTimeEstimator } from './service-time-estimator.js'
 import type { RoutingSettings } from './settings.js'
 
@@ -24,7 +24,7 @@
    * retried after a timeout. A timeout based on the estimated service time doubles after each timed-out attempt,
    * because the estimate may be too low.
    */
-  timeoutAtMs (request: OpenRequest, nowMs: number): number {
+  timeoutAtMs (request: HeldRequest, nowMs: number): number {
     const { deadlineAtMs, requestClass } = request.spec
     if (!request.isIdempotent) return deadlineAtMs
     if (!this.#serviceTimes.hasEstimate(requestClass)) return nowMs + (deadlineAtMs - nowMs) * DEFAULT_TIMEOUT_SHARE
--- a/packages/routing/src/dispatcher.ts
+++ b/packages/routing/src/dispatcher.ts
@@ -2,7 +2,7 @@
 import { failure, type Failure, type Random } from '@comfreygrade/core'
 import type { Admission } from './admission.js'
 import type { LoadExchange } from './load-exchange.js'
-import type { OpenRequest } from './open-request.js'
+import type { HeldRequest } from './held-request.js'
 import type { RoutingPolicy, SelectionContext } from './policy.js'
 import type { RequestQueue } from './request-queue.js'
 import type { ServerPool, ServerState } from './server-pool.js'
@@ -23,12 +23,12 @@
   readonly loadExchange: LoadExchange
   readonly timers: TimerHeap
   /** Sends a request that has been removed from its queue. */
-  readonly dispatch: (request: OpenRequest, server: ServerState, nowMs: number) => void
+  readonly dispatch: (request: HeldRequest, server: ServerState, nowMs: number) => void
   /**
    * Refuses a waiting request; `notRunFailure` is replaced if an earlier attempt may have run
-   * (`OpenRequest.outcomeFailure`).
+   * (`HeldRequest.outcomeFailure`).
    */
-  readonly refuse: (request: OpenRequest, notRunFailure: Failure) => void
+  readonly refuse: (request: HeldRequest, notRunFailure: Failure) => void
 }
 
 type SelectServer = (context: SelectionContext) => ServerState | undefined
@@ -73,7 +73,7 @@
   }
 
   /** Sends a new request, or queues it if no server has capacity. */
-  submit (request: OpenRequest, nowMs: number): void {
+  submit (request: HeldRequest, nowMs: number): void {
     const { queues } = this.#options
     const queue = queues.getOrCreate(request.spec.service)
     // If nothing of this work class waits, the request that found no server has ended, and its block with it.
@@ -113,7 +113,7 @@
   }
 
   #dispatchWhileCapacity (
-    requests: RequestQueue<OpenRequest>, blockedWorkClasses: Set<WorkClass>, nowMs: number, selectServer: SelectServer
+    requests: RequestQueue<HeldRequest>, blockedWorkClasses: Set<WorkClass>, nowMs: number, selectServer: SelectServer
   ): void {
     const { queues, dispatch, refuse } = this.#options
     for (
@@ -133,7 +133,7 @@
     }
   }
 
-  #selectionContextFor (request: OpenRequest, nowMs: number): SelectionContext {
+  #selectionContextFor (request: HeldRequest, nowMs: number): SelectionContext {
     const { pool, loadExchange } = this.#options
     const { workClass, attemptedServerIds, spec, isIdempotent } = request
     const tiers = pool.tiersOf(spec.service)
@@ -149,9 +149,10 @@
 
   /**
    * Whether less time is left until the deadline than `startMarginFactor` times the typical service time, so that the
-   * request would only take a slot from others. As on admission, a request that does not have to wait is exempt.
+   * request would only take a slot from others. Admission compares with the typical service time itself, so a request
+   * may be admitted and refused here later. As on admission, a request that does not have to wait is exempt.
    */
-  #wouldMissDeadline (request: OpenRequest, nowMs: number): boolean {
+  #wouldMissDeadline (request: HeldRequest, nowMs: number): boolean {
     if (nowMs === request.queuedAtMs) return false
     const { settings, serviceTimes } = this.#options
     const requiredMs = settings.startMarginFactor * serviceTimes.typicalMs(request.spec.requestClass)
--- a/packages/routing/src/events.ts
+++ b/packages/routing/src/events.ts
@@ -42,7 +42,10 @@
   }
   /** The caller disconnected, so that no answer can reach it. */
   | { readonly kind: 'caller_gone', readonly requestId: string }
-  /** The entry VM shuts down: new requests and those that cannot have run are refused, the others are completed. */
+  /**
+   * The entry VM shuts down: new requests and those that cannot have run are refused, the others are completed. This is
+   * not the drain of a backend server, which operators start (`BackendRegistry.setDraining`).
+   */
   | { readonly kind: 'drain_started' }
   | { readonly kind: 'tick' }
 
--- a/packages/routing/src/open-request.ts
+++ b/packages/routing/src/held-request.ts
@@ -18,7 +18,7 @@
  */
 export type ClaimState = 'none' | 'pending' | 'granted' | 'settled'
 
-/** What is known about whether the backend server executed an attempt; `open` while the attempt is in flight. */
+/** What is known about whether the backend server executed an attempt; `open` while the attempt is pending. */
 export type ExecutionStatus = 'open' | 'not_run' | 'may_have_run'
 
 /** One dispatch of a request to a backend server. */
@@ -32,8 +32,11 @@
   timer?: Timer
 }
 
-/** A request that has no outcome yet, or that has a pending attempt or claim decision. */
-export class OpenRequest implements QueueItem {
+/**
+ * A request that the router holds: one that has no outcome yet, or that has a pending attempt or claim decision. The
+ * setting `maxOpenRequests` limits these; `RequestRouter.openRequests` counts only some of them.
+ */
+export class HeldRequest implements QueueItem {
   readonly spec: RequestSpec
   readonly attemptedServerIds = new Set<string>()
   phase: RequestPhase = 'queued'
@@ -84,8 +87,8 @@
     return this.isIdempotent || !this.mayHaveRun
   }
 
-  /** The attempt whose result has not been reported yet, if any. */
-  get openAttempt (): Attempt | undefined {
+  /** The pending attempt, whose result has not been reported yet, if any. */
+  get pendingAttempt (): Attempt | undefined {
     const last = this.#attempts.at(-1)
     return last?.executionStatus === 'open' ? last : undefined
   }
@@ -112,7 +115,7 @@
   /** `notRunFailure` if no attempt may have run, otherwise a failure which states that the request may have run. */
   outcomeFailure (notRunFailure: Failure): Failure {
     if (!this.mayHaveRun) return notRunFailure
-    // The default applies if the only attempt that may have run is still open.
+    // The default applies if the only attempt that may have run is still pending.
     const reason =
       this.#attempts.findLast(attempt => attempt.executionStatus === 'may_have_run')?.failureReason ?? 'attempt_timeout'
     const detail = `attempt failed with ${reason} after the request may have been sent; it may have been executed`
@@ -137,7 +140,7 @@
  * request.
  *
  * @example
- * resolutionOfFailure('maybe_sent', 'rejected') // 'not_run'
+ * executionStatusOfFailure('maybe_sent', 'rejected') // 'not_run'
  */
 export function executionStatusOfFailure (progress: SendProgress, reason: AttemptFailureReason): ExecutionStatus {
   return progress === 'not_sent' || reason === 'rejected' ? 'not_run' : 'may_have_run'
--- a/packages/routing/src/index.ts
+++ b/packages/routing/src/index.ts
@@ -1,5 +1,5 @@
 export * from './events.js'
-export * from './open-request.js'
+export * from './held-request.js'
 export * from './peer-load.js'
 export * from './policy.js'
 export * from './registry.js'
--- a/packages/routing/src/peer-load.ts
+++ b/packages/routing/src/peer-load.ts
@@ -71,7 +71,10 @@
     else this.#lastReportByPeer.set(nodeId, { entry, atMs: nowMs })
   }
 
-  /** Removes a peer whose counts have largely decayed; what is left of them decays further. */
+  /**
+   * Removes a silent peer. What is left of its counts decays further; if the peer returns before that, its new counts
+   * are added to the rest.
+   */
   removePeer (nodeId: string): void {
     this.#lastReportByPeer.delete(nodeId)
   }
--- a/packages/routing/src/registry.ts
+++ b/packages/routing/src/registry.ts
@@ -83,7 +83,7 @@
     return true
   }
 
-  /** Sets the backend servers that operators drain; they finish their open requests and get no new ones. */
+  /** Sets the backend servers that operators drain; they finish their requests in flight and get no new ones. */
   setDraining (ids: ReadonlySet<string>): void {
     this.#drainingIds = new Set(ids)
     for (const [id, server] of this.#servers) server.isDraining = this.#drainingIds.has(id)
--- a/packages/routing/src/router.ts
+++ b/packages/routing/src/router.ts
@@ -7,7 +7,7 @@
 import type { AnswerStatus, AttemptFailureReason, ClaimDecision, ClaimOutcome, RoutingEffect, RoutingEvent } from './events.js'
 import { Dispatcher } from './dispatcher.js'
 import { LoadExchange } from './load-exchange.js'
-import { OpenRequest, executionStatusOfFailure, type Attempt, type ExecutionStatus, type RetryReason } from './open-request.js'
+import { HeldRequest, executionStatusOfFailure, type Attempt, type ExecutionStatus, type RetryReason } from './held-request.js'
 import type { LoadReport } from './peer-load.js'
 import type { RoutingPolicy } from './policy.js'
 import type { BackendRegistry } from './registry.js'
@@ -35,7 +35,7 @@
  * After each event, load report of a peer and change of the registry, the front end sets its timer to `nextWakeAtMs`;
  * when the timer fires, it sends a `tick`.
  *
- * The front end gives every request an ID that no other open request has, answers every `claim` with `claim_decided`
+ * The front end gives every request an ID that no other held request has, answers every `claim` with `claim_decided`
  * and reports the end of every `dispatch`. The router replaces a missing report by a timeout. A missing claim decision
  * is not replaced: the request is refused at its deadline, but it is held until the decision arrives.
  *
@@ -57,7 +57,7 @@
   readonly #loadExchange: LoadExchange
   readonly #dispatcher: Dispatcher
   readonly #timers = new TimerHeap()
-  readonly #requests = new Map<string, OpenRequest>()
+  readonly #heldRequests = new Map<string, HeldRequest>()
   #weights: ReadonlyMap<string, number> = new Map()
   #effects: RoutingEffect[] = []
   #openRequestCount = 0
@@ -93,7 +93,8 @@
 
   /**
    * Number of requests without an outcome or with a pending claim decision; a shutdown may proceed when it is 0.
-   * Requests that have an outcome but still a pending attempt are not counted, though `maxOpenRequests` includes them.
+   * Requests that are held only because an attempt is pending after their outcome are not counted, but
+   * `maxOpenRequests` includes them.
    */
   get openRequests (): number {
     return this.#openRequestCount
@@ -154,22 +155,23 @@
       case 'attempt_failed':
         return this.#onAttemptFailed(event.requestId, event.attempt, event.progress, event.reason, nowMs)
       case 'caller_gone': return this.#onCallerGone(event.requestId)
-      case 'drain_started': return this.#onDrainStarted()
+      case 'drain_started': return this.#onShutdownStarted()
       case 'tick':
     }
   }
 
   #onArrived (spec: RequestSpec, nowMs: number): void {
     // The first request with this ID is still held and gets the only outcome for the ID.
-    if (this.#requests.has(spec.requestId)) return this.#metrics.increment('duplicate_request')
+    if (this.#heldRequests.has(spec.requestId)) return this.#metrics.increment('duplicate_request')
     const refusal = this.#arrivalRefusal(spec, nowMs)
     if (refusal !== undefined) return this.#emitRefusal(spec.requestId, refusal)
     this.#retryBudgets.deposit(spec.organisationId, nowMs)
-    const request = new OpenRequest(spec)
-    this.#requests.set(spec.requestId, request)
+    const request = new HeldRequest(spec)
+    this.#heldRequests.set(spec.requestId, request)
     this.#openRequestCount++
     request.deadlineTimer = this.#timers.set(spec.deadlineAtMs, () => this.#onDeadline(request))
-    // Without an idempotency key there is nothing to claim; only attempts of this request are kept from running twice.
+    // Without an idempotency key there is nothing to claim: the router keeps this request from running twice, but does
+    // not recognise the same request when the caller sends it again.
     if (request.isIdempotent || spec.idempotencyKey === undefined) return this.#enqueue(request, nowMs)
     request.phase = 'claiming'
     request.claim = 'pending'
@@ -185,15 +187,15 @@
     if (this.#pool.tiersOf(service).length === 0) {
       return failure('no_backend_server', `no backend server has announced service ${service}`)
     }
-    if (this.#requests.size >= this.#settings.maxOpenRequests) {
-      const detail = `${this.#requests.size} requests are held, the limit is ${this.#settings.maxOpenRequests}`
+    if (this.#heldRequests.size >= this.#settings.maxOpenRequests) {
+      const detail = `${this.#heldRequests.size} requests are held, the limit is ${this.#settings.maxOpenRequests}`
       return failure('queue_full', detail)
     }
     return this.#admission.refusalFor(spec, weight, nowMs)
   }
 
   #onClaimDecided (requestId: string, decision: ClaimDecision, nowMs: number): void {
-    const request = this.#requests.get(requestId)
+    const request = this.#heldRequests.get(requestId)
     if (request === undefined || request.claim !== 'pending') return
     request.claim = decision.kind === 'granted' ? 'granted' : 'none'
     if (request.phase === 'ended') return this.#onClaimDecidedAfterEnd(request)
@@ -202,13 +204,13 @@
   }
 
   /** Handles the claim decision of a request that ended before the decision, and was therefore never dispatched. */
-  #onClaimDecidedAfterEnd (request: OpenRequest): void {
+  #onClaimDecidedAfterEnd (request: HeldRequest): void {
     this.#openRequestCount--
     this.#settleClaim(request, 'not_run')
     this.#removeIfDone(request)
   }
 
-  #enqueue (request: OpenRequest, nowMs: number): void {
+  #enqueue (request: HeldRequest, nowMs: number): void {
     const { requestClass, organisationId } = request.spec
     request.phase = 'queued'
     request.workClass = this.#serviceTimes.workClass(requestClass)
@@ -218,7 +220,7 @@
     this.#dispatcher.submit(request, nowMs)
   }
 
-  #dispatch (request: OpenRequest, server: ServerState, nowMs: number): void {
+  #dispatch (request: HeldRequest, server: ServerState, nowMs: number): void {
     this.#metrics.timing('queue_wait', nowMs - request.queuedAtMs, { workClass: request.workClass })
     const attempt = request.beginAttempt(server, nowMs)
     server.recordDispatch(attempt.workClass, nowMs)
@@ -239,7 +241,7 @@
   }
 
   #onAnswered (requestId: string, attemptNumber: number, status: AnswerStatus, nowMs: number): void {
-    const request = this.#requests.get(requestId)
+    const request = this.#heldRequests.get(requestId)
     const attempt = request?.attemptByNumber(attemptNumber)
     if (request === undefined || attempt === undefined) return
     if (attempt.executionStatus !== 'open') return this.#onLateAnswer(request, attempt, status, nowMs)
@@ -255,7 +257,7 @@
    * Answers an idempotent request that has no outcome with the late success of an attempt that had timed out or whose
    * connection was lost.
    */
-  #onLateAnswer (request: OpenRequest, attempt: Attempt, status: AnswerStatus, nowMs: number): void {
+  #onLateAnswer (request: HeldRequest, attempt: Attempt, status: AnswerStatus, nowMs: number): void {
     const isUsable = request.phase !== 'ended' && request.isIdempotent && status === 'success'
     if (!isUsable || attempt.executionStatus !== 'may_have_run' || attempt.failureReason === 'server_error') return
     this.#serviceTimes.observe(request.spec.requestClass, nowMs - attempt.startedAtMs)
@@ -266,7 +268,7 @@
    * Schedules a retry after a server error, or returns false to pass the error to the caller as the answer. Unlike
    * other failures, a server error is already an answer, so the retry does not wait for the retry budget.
    */
-  #tryRetryServerError (request: OpenRequest, attempt: Attempt, nowMs: number): boolean {
+  #tryRetryServerError (request: HeldRequest, attempt: Attempt, nowMs: number): boolean {
     if (!request.isIdempotent || request.isCallerDisconnected) return false
     const delayMs = this.#attemptTiming.backoffMs(request.attemptCount)
     if (nowMs + delayMs >= request.deadlineAtMs) return false
@@ -281,7 +283,7 @@
   #onAttemptFailed (
     requestId: string, attemptNumber: number, progress: SendProgress, reason: AttemptFailureReason, nowMs: number
   ): void {
-    const request = this.#requests.get(requestId)
+    const request = this.#heldRequests.get(requestId)
     const attempt = request?.attemptByNumber(attemptNumber)
     if (request === undefined || attempt === undefined || attempt.executionStatus !== 'open') return
     attempt.failureReason = reason
@@ -291,7 +293,7 @@
     this.#retryOrRefuse(request, reason, nowMs)
   }
 
-  #closeAttempt (request: OpenRequest, attempt: Attempt, executionStatus: ExecutionStatus): void {
+  #closeAttempt (request: HeldRequest, attempt: Attempt, executionStatus: ExecutionStatus): void {
     attempt.executionStatus = executionStatus
     attempt.server.recordEnd(attempt.workClass)
     request.attemptedServerIds.add(attempt.server.id)
@@ -306,7 +308,7 @@
     this.#timers.set(attempt.server.ejection.endsAtMs, () => this.#dispatcher.markCapacityChanged())
   }
 
-  #retryOrRefuse (request: OpenRequest, reason: RetryReason, nowMs: number): void {
+  #retryOrRefuse (request: HeldRequest, reason: RetryReason, nowMs: number): void {
     if (request.isCallerDisconnected) return this.#refuse(request, request.outcomeFailure(failure('cancelled', 'the caller disconnected')))
     const delayMs = this.#attemptTiming.backoffMs(request.attemptCount)
     const isInTime = nowMs + delayMs < request.deadlineAtMs
@@ -317,7 +319,7 @@
   }
 
   /** Retries, or waits for the retry budget until the deadline, as waiting is better than a refusal. */
-  #onBackoffEnded (request: OpenRequest, reason: RetryReason, nowMs: number): void {
+  #onBackoffEnded (request: HeldRequest, reason: RetryReason, nowMs: number): void {
     request.isRetryBudgetExhausted = !this.#retryBudgets.tryWithdraw(request.organisationId, nowMs)
     if (!request.isRetryBudgetExhausted) return this.#retry(request, reason, nowMs)
     // With full jitter the backoff may be close to 0, so that the budget would be checked in a tight loop.
@@ -326,19 +328,19 @@
       this.#onBackoffEnded(request, reason, firedAtMs))
   }
 
-  #retry (request: OpenRequest, reason: RetryReason, nowMs: number): void {
+  #retry (request: HeldRequest, reason: RetryReason, nowMs: number): void {
     this.#metrics.increment('retry', { reason })
     this.#enqueue(request, nowMs)
   }
 
   /** A running attempt ends by its own timeout instead, so that an answer at the last moment is not lost. */
-  #onDeadline (request: OpenRequest): void {
+  #onDeadline (request: HeldRequest): void {
     if (request.phase === 'running') return
     this.#refuse(request, request.outcomeFailure(request.deadlineFailure()))
   }
 
   #onCallerGone (requestId: string): void {
-    const request = this.#requests.get(requestId)
+    const request = this.#heldRequests.get(requestId)
     if (request === undefined || request.phase === 'ended') return
     request.isCallerDisconnected = true
     if (request.phase === 'running') return
@@ -346,22 +348,22 @@
   }
 
   /** Refuses all requests that cannot have run; the others could no longer be reported as not run, so they go on. */
-  #onDrainStarted (): void {
+  #onShutdownStarted (): void {
     this.#isShuttingDown = true
-    for (const request of [...this.#requests.values()]) {
+    for (const request of [...this.#heldRequests.values()]) {
       if (request.phase === 'ended' || request.phase === 'running' || request.mayHaveRun) continue
       this.#refuse(request, failure('shutting_down', 'this entry VM is shutting down; the request was not run'))
     }
   }
 
-  #answer (request: OpenRequest, attempt: Attempt, status: AnswerStatus): void {
+  #answer (request: HeldRequest, attempt: Attempt, status: AnswerStatus): void {
     this.#effects.push({ kind: 'answer', requestId: request.spec.requestId, attempt: attempt.attemptNumber })
     this.#endRequest(request)
     if (request.claim === 'granted') this.#settleClaim(request, status === 'success' ? 'completed' : 'unknown')
     this.#removeIfDone(request)
   }
 
-  #refuse (request: OpenRequest, cause: Failure): void {
+  #refuse (request: HeldRequest, cause: Failure): void {
     this.#emitRefusal(request.spec.requestId, cause)
     this.#endRequest(request)
     if (request.claim === 'granted') this.#settleClaim(request, request.claimOutcome)
@@ -373,7 +375,7 @@
     this.#effects.push({ kind: 'refuse', requestId, failure: cause })
   }
 
-  #endRequest (request: OpenRequest): void {
+  #endRequest (request: HeldRequest): void {
     if (request.phase === 'queued') this.#queues.remove(request)
     request.phase = 'ended'
     if (request.claim !== 'pending') this.#openRequestCount--
@@ -381,14 +383,14 @@
     this.#timers.cancel(request.backoffTimer)
   }
 
-  #settleClaim (request: OpenRequest, outcome: ClaimOutcome): void {
+  #settleClaim (request: HeldRequest, outcome: ClaimOutcome): void {
     if (request.claim !== 'granted') return
     request.claim = 'settled'
     this.#effects.push({ kind: 'settle_claim', request: request.spec, outcome })
   }
 
-  #removeIfDone (request: OpenRequest): void {
-    if (request.openAttempt !== undefined || request.claim === 'pending') return
-    this.#requests.delete(request.spec.requestId)
+  #removeIfDone (request: HeldRequest): void {
+    if (request.pendingAttempt !== undefined || request.claim === 'pending') return
+    this.#heldRequests.delete(request.spec.requestId)
   }
 }
--- a/packages/routing/src/server-pool.ts
+++ b/packages/routing/src/server-pool.ts
@@ -161,7 +161,11 @@
     return outOfService + 1 <= this.#servers.size * this.#settings.ejectionMaxShare
   }
 
-  /** A restarted server gets a new limit and health state; its earlier requests end on the previous state. */
+  /**
+   * Returns the state of a server. A restarted server gets a new state with a new limit and health; attempts that were
+   * dispatched earlier end on the previous state. When one ends, the dispatcher may send a waiting request on the
+   * previous state, which the limit of the new state and the load reports do not include.
+   */
   #stateOf (registration: RegisteredServer): ServerState {
     const id = registration.record.backendServerId
     const state = this.#servers.get(id)
@@ -191,6 +195,10 @@
   return Math.max(1, Math.min(record.slots, record.connections))
 }
 
+/**
+ * Whether one more request fits the limit. Peer counts become fractions as they decay; rounding counts a slot as free
+ * once the sum is more than half a request below the limit.
+ */
 function fitsOneMore (ownInFlight: number, peerInFlight: number, limit: number, entryVmCount: number): boolean {
   if (ownInFlight >= limit) return false
   return ownInFlight < Math.floor(limit / entryVmCount) || Math.round(ownInFlight + peerInFlight) < limit
--- a/packages/routing/src/service-queues.ts
+++ b/packages/routing/src/service-queues.ts
@@ -1,12 +1,12 @@
 /** Request queues of all services, with a common size limit. */
-import type { OpenRequest } from './open-request.js'
+import type { HeldRequest } from './held-request.js'
 import { RequestQueue } from './request-queue.js'
 import type { WorkClass } from './service-time-estimator.js'
 import type { RoutingSettings } from './settings.js'
 
 /** Queue of one service, with the work classes that are blocked. */
 export interface ServiceQueue {
-  readonly requests: RequestQueue<OpenRequest>
+  readonly requests: RequestQueue<HeldRequest>
   /** Work classes for which no server had capacity; cleared when capacity changes. */
   readonly blockedWorkClasses: Set<WorkClass>
 }
@@ -47,19 +47,19 @@
     return [...this.#queues.values()].filter(queue => queue.requests.size > 0)
   }
 
-  enqueue (request: OpenRequest, weight: number, nowMs: number): void {
+  enqueue (request: HeldRequest, weight: number, nowMs: number): void {
     this.#size++
     this.getOrCreate(request.spec.service).requests.enqueue(request, weight, nowMs)
   }
 
   /** Removes a request to send it to a server. */
-  dequeue (request: OpenRequest, nowMs: number): void {
+  dequeue (request: HeldRequest, nowMs: number): void {
     this.#size--
     this.getOrCreate(request.spec.service).requests.dequeue(request, nowMs)
   }
 
   /** Removes a request that ended while it was queued. */
-  remove (request: OpenRequest): void {
+  remove (request: HeldRequest): void {
     this.#size--
     this.getOrCreate(request.spec.service).requests.remove(request)
   }
--- a/packages/routing/src/service-time-estimator.ts
+++ b/packages/routing/src/service-time-estimator.ts
@@ -92,19 +92,19 @@
 
   /**
    * Returns the statistics of a request class, created if needed, and moves them to the end of the map, which is kept
-   * in order of last use. If there are too many, the least recently used ones are evicted.
+   * in order of last observation. If there are too many, the least recently observed one is evicted.
    */
   #getOrCreate (requestClass: string): RequestClassStatistics {
     const existing = this.#requestClasses.get(requestClass)
     const statistics = existing ?? { observationCount: 0, logMean: 0, meanMs: 0, workClass: 'short' as const }
     this.#requestClasses.delete(requestClass)
     this.#requestClasses.set(requestClass, statistics)
-    if (this.#requestClasses.size > this.#settings.maxRequestClasses) this.#evictLeastRecentlyUsed()
+    if (this.#requestClasses.size > this.#settings.maxRequestClasses) this.#evictLeastRecentlyObserved()
     return statistics
   }
 
-  #evictLeastRecentlyUsed (): void {
-    const [leastRecentlyUsed] = this.#requestClasses.keys()
-    if (leastRecentlyUsed !== undefined) this.#requestClasses.delete(leastRecentlyUsed)
+  #evictLeastRecentlyObserved (): void {
+    const [leastRecentlyObserved] = this.#requestClasses.keys()
+    if (leastRecentlyObserved !== undefined) this.#requestClasses.delete(leastRecentlyObserved)
   }
 }
--- a/packages/routing/src/settings.ts
+++ b/packages/routing/src/settings.ts
@@ -2,8 +2,8 @@
 
 export interface RoutingSettings {
   /**
-   * Maximum number of requests that one router holds at once; further requests are refused. An ended request
-   * counts while an attempt or a claim decision is pending.
+   * Maximum number of requests that one router holds at once; further requests are refused. An ended request is held
+   * while an attempt or a claim decision is pending, so `RequestRouter.openRequests` may be smaller.
    */
   readonly maxOpenRequests: number
   /** Maximum number of queued requests of all services together. */
@@ -26,7 +26,10 @@
   readonly retryBudgetMaxTokens: number
   /** Retry budget of all organisations together as a multiple of the budget of one. */
   readonly retryBudgetTotalFactor: number
-  /** Retry tokens earned per second without requests, so that an organisation with little traffic can retry too. */
+  /**
+   * Retry tokens earned per second in addition to those earned by requests, so that an organisation with little traffic
+   * can retry too.
+   */
   readonly retryBudgetMinPerSecond: number
   /** Number of random servers whose load is compared; 1 selects a server at random. */
   readonly randomChoices: number
@@ -36,7 +39,10 @@
   readonly limitDecreaseIntervalMs: number
   /** Increase of the limit after as many successes as the limit allows in flight. */
   readonly limitIncreaseRequests: number
-  /** Answers that take more than this multiple of the typical service time on average are a sign of overload. */
+  /**
+   * Multiple of the typical service time above which answers, on average, are a sign of overload. A timeout after less
+   * than this multiple counts neither as a sign of overload nor towards ejection.
+   */
   readonly limitSlowFactor: number
   /** Consecutive failures after which a server is ejected; Infinity disables ejection. */
   readonly ejectAfterFailures: number
@@ -60,7 +66,7 @@
   readonly longClassMinMs: number
   /** Share of the threshold below which a long request class becomes short again; hysteresis prevents alternation. */
   readonly longClassHysteresis: number
-  /** Maximum number of request classes with a service time estimate; the least recently used one is evicted. */
+  /** Maximum number of request classes with a service time estimate; the least recently observed one is evicted. */
   readonly maxRequestClasses: number
   /** Service time assumed for a request class without observations. */
   readonly unknownServiceTimeMs: number
@@ -68,6 +74,7 @@
   readonly quantumMs: number
   /**
    * A waiting request is refused if less than this multiple of its typical service time is left before its deadline.
+   * Admission does not use it; it requires one typical service time after the expected wait.
    */
   readonly startMarginFactor: number
   /** Time after which blocked queues are checked again, as counts reported by peers decay without an event. */
@@ -78,19 +85,27 @@
   readonly minRetryAfterMs: number
   /** Maximum of the retry delay that a refusal advises. */
   readonly maxRetryAfterMs: number
-  /** Interval at which the front end sends a load report to its peers. */
+  /**
+   * Interval at which the front end sends a load report to its peers. Unchanged counts are due again after half of
+   * `peerLoadHalfLifeMs`; a longer interval lets them decay further before they are repeated.
+   */
   readonly loadShareIntervalMs: number
   /** Target size of a load report, which the front end passes as `maxBytesHint`. */
   readonly loadShareMaxBytes: number
   /** Share of the limit up to which servers in other regions are used, so that they keep capacity for their region. */
   readonly crossRegionMaxLoad: number
-  /** Half-life of the counts of short requests reported by peers. */
+  /**
+   * Half-life of the counts of short requests reported by peers. Unchanged counts, of long requests too, are due to be
+   * sent again after half of it, so `loadShareIntervalMs` should not be longer than that.
+   */
   readonly peerLoadHalfLifeMs: number
   /** Half-life of the counts of long requests reported by peers. */
   readonly peerLongLoadHalfLifeMs: number
   /**
    * Time without a load report after which a peer no longer counts as one that shares the servers; checked when a
-   * report of any peer arrives. A peer without requests in flight need not send reports.
+   * report of any peer arrives. A peer without requests in flight need not send reports. What is left of the counts of
+   * the peer decays further, and is added to its new counts if it returns: with the defaults, about 35 % of a count of
+   * long requests, as this time is 1.5 times `peerLongLoadHalfLifeMs`.
    */
   readonly peerForgetAfterMs: number
   /** Maximum number of entries of a load report that are sent or applied. */
--- a/packages/routing/test/router-invariants.test.ts
+++ b/packages/routing/test/router-invariants.test.ts
@@ -28,7 +28,7 @@
   claimBehaviours: fc.array(fc.constantFrom(...claimBehaviours), { minLength: 1, maxLength: 10 }),
   leaveAtMs: fc.integer({ min: 0, max: 2_000 }),
   silentFromMs: fc.integer({ min: 0, max: 2_000 }),
-  drainAtMs: fc.integer({ min: 500, max: 4_000 }),
+  shutdownAtMs: fc.integer({ min: 500, max: 4_000 }),
   delaysMs: fc.array(fc.integer({ min: 0, max: 120 }), { minLength: 1, maxLength: 12 }),
   seed: fc.integer({ min: 1, max: 1_000_000 })
 })
--- a/packages/routing/test/router-simulation.ts
+++ b/packages/routing/test/router-simulation.ts
@@ -47,7 +47,7 @@
   /** From when on server `b2` sends no heartbeats. */
   readonly silentFromMs: number
   /** When the entry VM starts to shut down. */
-  readonly drainAtMs: number
+  readonly shutdownAtMs: number
   readonly delaysMs: readonly number[]
   readonly seed: number
 }
@@ -159,12 +159,12 @@
   }
 
   #scheduleScenario (): void {
-    const { requests, leaveAtMs, drainAtMs, silentFromMs } = this.#scenario
+    const { requests, leaveAtMs, shutdownAtMs, silentFromMs } = this.#scenario
     for (let atMs = 0, sequence = 1; atMs <= END_MS; atMs += HEARTBEAT_INTERVAL_MS, sequence++) {
       for (const id of SERVERS) this.#schedule(atMs, () => this.#heartbeat(id, sequence, silentFromMs))
     }
     this.#schedule(leaveAtMs, () => this.#leave('b1'))
-    this.#schedule(drainAtMs, () => this.#send({ kind: 'drain_started' }))
+    this.#schedule(shutdownAtMs, () => this.#send({ kind: 'drain_started' }))
     requests.forEach((plan, index) => this.#schedule(plan.atMs, () => this.#sendRequest(plan, index)))
   }
 
@@ -246,9 +246,9 @@
     behaviour: AttemptBehaviour, requestId: string, attempt: number, sentAtMs: number, timeoutAtMs: number
   ): void {
     const execute = (atMs: number) => this.#schedule(atMs, () => this.#recordExecution(requestId))
-    const answer = (atMs: number, quality: 'success' | 'server_error' = 'success') => this.#schedule(atMs, () => {
+    const answer = (atMs: number, status: 'success' | 'server_error' = 'success') => this.#schedule(atMs, () => {
       this.trace.answered.add(`${requestId}#${attempt}`)
-      this.#send({ kind: 'answered', requestId, attempt, quality })
+      this.#send({ kind: 'answered', requestId, attempt, quality: status })
     })
     const fail = (atMs: number, progress: 'not_sent' | 'maybe_sent', reason: AttemptFailureReason) =>
       this.#schedule(atMs, () => this.#send({ kind: 'attempt_failed', requestId, attempt, progress, reason }))
--- a/packages/routing/test/router.test.ts
+++ b/packages/routing/test/router.test.ts
@@ -138,7 +138,7 @@
   t.deepEqual(dispatched(router.handle({ kind: 'tick' }, 10)), [['r1', 'b9']])
 })
 
-test('a drain refuses requests that were never sent and lets sent ones finish, so that a shutdown interrupts no request', t => {
+test('a shutdown refuses requests that were never sent and lets sent ones finish, so that it interrupts no running request', t => {
   const { router } = setUp()
   arrive(router, request('sent'))
   arrive(router, request('waiting'))
@@ -187,8 +187,8 @@
     const spec = request(id, { repeatability: 'non-repeatable', deadlineAtMs: nowMs + 1_000 })
     const [[, server] = []] = dispatched(arrive(router, spec, nowMs))
     if (server === 'b0') errors.push(nowMs)
-    const quality = server === 'b0' ? 'server_error' : 'success'
-    router.handle({ kind: 'answered', requestId: id, attempt: 1, quality }, nowMs + 1)
+    const status = server === 'b0' ? 'server_error' : 'success'
+    router.handle({ kind: 'answered', requestId: id, attempt: 1, quality: status }, nowMs + 1)
   }
   t.true(errors.length > 0 && errors.length <= 5, `${errors.length} requests met the failing server`)
 })
