--- a/packages/node/src/membership-broadcast.ts
+++ b/packages/node/src/backend-state-broadcast.ts
@@ -3,8 +3,8 @@
 import type { BackendRegistry, RequestRouter } from '@comfreygrade/routing'
 import type { PeerMessage } from './peer-messages.js'
 
-/** Options of {@link MembershipBroadcast}. */
-export interface MembershipBroadcastOptions {
+/** Options of {@link BackendStateBroadcast}. */
+export interface BackendStateBroadcastOptions {
   readonly registry: BackendRegistry
   readonly router: RequestRouter
   readonly clock: Clock
@@ -23,13 +23,13 @@
  * Batches and broadcasts the records that backend servers announced to this node. Records received from peers are not
  * forwarded, as every node sends to all others.
  */
-export class MembershipBroadcast {
-  readonly #options: MembershipBroadcastOptions
+export class BackendStateBroadcast {
+  readonly #options: BackendStateBroadcastOptions
   readonly #unsentRecords = new Map<string, BackendServerRecord>()
   #recordTimer: NodeJS.Timeout | undefined
   #loadTimer: NodeJS.Timeout | undefined
 
-  constructor (options: MembershipBroadcastOptions) {
+  constructor (options: BackendStateBroadcastOptions) {
     this.#options = options
   }
 
--- a/packages/node/src/control-client.ts
+++ b/packages/node/src/control-client.ts
@@ -53,14 +53,16 @@
    * claimant.
    */
   async execute (operation: ControlOperation, timeoutMs = this.#options.timeoutMs): Promise<ControlResult> {
-    const deadlineMs = this.#options.clock.monotonicMs() + timeoutMs
+    const deadlineAtMs = this.#options.clock.monotonicMs() + timeoutMs
     let unknownDetail: string | undefined
     for (;;) {
-      const outcome = await this.#attempt(operation, deadlineMs)
+      const outcome = await this.#attempt(operation, deadlineAtMs)
       if (outcome.kind === 'answered') return outcome.result
       if (outcome.kind === 'unknown') unknownDetail = outcome.detail
-      const remainingMs = deadlineMs - this.#options.clock.monotonicMs()
+      const remainingMs = deadlineAtMs - this.#options.clock.monotonicMs()
       if (remainingMs <= RETRY_DELAY_MS) return createTimeoutFailure(outcome.detail, unknownDetail)
+      // `leader_silent`: the outcome is unknown, also when the leader lost its role or the link to it broke.
+      // `leader_unknown`: not applied, also when the link was down before or the node asked does not lead.
       this.#options.metrics.increment('retry', { reason: outcome.kind === 'unknown' ? 'leader_silent' : 'leader_unknown' })
       await delay(RETRY_DELAY_MS)
     }
@@ -78,11 +80,11 @@
     }
   }
 
-  async #attempt (operation: ControlOperation, deadlineMs: number): Promise<AttemptOutcome> {
+  async #attempt (operation: ControlOperation, deadlineAtMs: number): Promise<AttemptOutcome> {
     const { nodeId, leaderNodeId, executeLocally } = this.#options
     const leader = leaderNodeId()
     if (leader === null) return { kind: 'not_applied', detail: 'no control leader is known' }
-    const remainingMs = Math.min(deadlineMs - this.#options.clock.monotonicMs(), this.#options.attemptTimeoutMs)
+    const remainingMs = Math.min(deadlineAtMs - this.#options.clock.monotonicMs(), this.#options.attemptTimeoutMs)
     if (leader === nodeId) return await withTimeout(executeLocally(operation), remainingMs)
     return await this.#requestPeer(leader, operation, remainingMs)
   }
--- a/packages/node/src/control-service.ts
+++ b/packages/node/src/control-service.ts
@@ -101,7 +101,10 @@
     return this.replica?.leader?.nodeId ?? null
   }
 
-  /** Handles the `hello` of another control node: bootstraps the log, or as leader replaces a voter with a new disk. */
+  /**
+   * Handles the `hello` of another control node: starts the replica if it does not run yet, or as leader replaces a
+   * voter with a new disk.
+   */
   receiveHello (peer: ControlPeer): void {
     this.#peers.set(peer.voter.nodeId, peer)
     if (this.replica === null) this.#bootstrap()
@@ -202,7 +205,7 @@
     const { self, controlNodeIds, log } = this.#options
     const decision = decideBootstrap(self, controlNodeIds, this.#peers)
     if (decision.kind === 'wait' || this.#host.hasStartedBootstrap) return
-    log.info('bootstrapping the control log', { voters: decision.voters.map(voter => voter.nodeId) })
+    log.info('starting the control replica on an empty disk', { voters: decision.voters.map(voter => voter.nodeId) })
     const isVoter = decision.voters.some(voter => voter.nodeId === self.nodeId && voter.diskId === self.diskId)
     if (isVoter) this.#host.initialise(decision.voters)
     else this.#host.run(Replica.emptyLog())
--- a/packages/node/src/file-log.ts
+++ b/packages/node/src/file-log.ts
@@ -286,7 +286,7 @@
 
 /**
  * Whether the folder contains log entries or a snapshot. A torn first record does not count, nor does a hard state
- * without entries.
+ * without entries. The start of a node does not call this: it decides from the recovered log.
  */
 export async function isFolderInitialised (
   folder: string, fileSystem: LogFileSystem = new OsLogFileSystem()
--- a/packages/node/src/http-api.ts
+++ b/packages/node/src/http-api.ts
@@ -42,7 +42,7 @@
 
 /**
  * Endpoints that this node answers itself, from the backend servers that it knows and its own status. Those of
- * `controlRoutes` are executed by the control leader.
+ * `controlRoutes` are executed by the control leader. `members` is the Moleculer service of these endpoints.
  */
 const nodeAliases = {
   'PUT /backend-servers/:id': 'members.announce',
@@ -74,7 +74,7 @@
     await this.#broker.start()
   }
 
-  /** Stops listening and waits for open requests to complete. */
+  /** Stops listening and waits, without a limit, for open requests to complete. */
   async stop (): Promise<void> {
     this.#server?.closeIdleConnections()
     await this.#broker.stop()
--- a/packages/node/src/http-schemas.ts
+++ b/packages/node/src/http-schemas.ts
@@ -12,6 +12,7 @@
   organisationId: identifier,
   /** Label for run-time estimates. */
   jobClass: identifier.default('default'),
+  /** Wider than `maxGangTasks` can be; the control leader refuses a gang above that rule as `impossible_shape`. */
   tasks: z.int().min(1).max(1024),
   acceleratorModel: identifier,
   acceleratorsPerTask: z.int().min(1).max(1024),
@@ -22,8 +23,9 @@
   declaredRunMs: z.int().min(1).max(365 * 24 * 3_600_000),
   priority: z.enum(['urgent', 'normal', 'low']).default('normal'),
   /**
-   * What happens to a started job whose capacity is taken back: `checkpoint` stops it after a checkpoint, and `repeat`
-   * stops it and runs it again from the start. A job with `none` keeps its capacity, and fails if a worker is lost.
+   * What happens to a started job whose capacity is taken back: it is stopped and waits to run again, with `checkpoint`
+   * after a checkpoint from which it can continue, and with `repeat` from the start. A job with `none` keeps its
+   * capacity, and fails if a worker is lost.
    */
   preemption: z.enum(['checkpoint', 'repeat', 'none']).default('repeat')
 })
--- a/packages/node/src/log-files.ts
+++ b/packages/node/src/log-files.ts
@@ -46,7 +46,10 @@
 
 /** File system operations that the log needs; tests use an implementation with disk faults. */
 export abstract class LogFileSystem {
-  /** Creates the folder, and missing folders above it, if it does not exist, and syncs its parent. */
+  /**
+   * Creates the folder, and missing folders above it, if it does not exist, and then syncs its parent. The names of
+   * folders that were created above it are not synced.
+   */
   abstract createFolder (folder: string): Promise<void>
   /** File names in the folder; empty if it does not exist. */
   abstract list (folder: string): Promise<string[]>
--- a/packages/node/src/node.ts
+++ b/packages/node/src/node.ts
@@ -12,7 +12,7 @@
 import { ControlClient } from './control-client.js'
 import type { ControlService } from './control-service.js'
 import { HttpApi } from './http-api.js'
-import { MembershipBroadcast } from './membership-broadcast.js'
+import { BackendStateBroadcast } from './backend-state-broadcast.js'
 import { PeerLinks } from './peer-links.js'
 import type { PeerMessage } from './peer-messages.js'
 import { RequestService, type RequestResult } from './request-service.js'
@@ -41,7 +41,7 @@
 const HELLO_INTERVAL_MS = 1_000
 /**
  * Interval once every control node is a voter with its current disk (`isVoterSetStable`). A `hello` contains the voter
- * set, and sending one to 39 peers every second takes more than 12 KB/s.
+ * set, so that frequent ones cost traffic: one to each of 39 peers every second takes more than 12 KB/s.
  */
 const STABLE_HELLO_INTERVAL_MS = 10_000
 /** Interval at which a graceful shutdown checks whether all requests have completed. */
@@ -60,7 +60,7 @@
   readonly #links: PeerLinks
   readonly #control: ControlService | undefined
   readonly #controlClient: ControlClient
-  readonly #membership: MembershipBroadcast
+  readonly #backendBroadcast: BackendStateBroadcast
   readonly #http: HttpApi
   readonly #startedAtMs: number
   #phase: Exclude<NodeStatus['state'], 'drained'> = 'starting'
@@ -101,7 +101,7 @@
       metrics,
       executeOperation: async (operation, timeoutMs) => await this.#controlClient.execute(operation, timeoutMs)
     })
-    this.#membership = this.#createMembershipBroadcast()
+    this.#backendBroadcast = this.#createBackendStateBroadcast()
     this.#http = new HttpApi({
       application: this,
       metrics,
@@ -118,7 +118,7 @@
   async start (): Promise<void> {
     const { timing } = this.#options.settings
     await this.#links.start()
-    this.#membership.start()
+    this.#backendBroadcast.start()
     this.#feedTimer = setInterval(() => { this.#requestFeed() }, timing.feedIntervalMs)
     this.#helloTimer = setInterval(() => { this.#broadcastHello() }, HELLO_INTERVAL_MS)
     await this.#http.start()
@@ -126,7 +126,10 @@
     this.#options.log.info('node is serving', { http: this.#options.settings.http })
   }
 
-  /** Shuts down gracefully: refuses new requests, waits for open ones up to the shutdown limit, closes everything. */
+  /**
+   * Shuts down gracefully: refuses new requests, waits for open ones up to the shutdown limit, and closes everything.
+   * Closing waits without a limit for HTTP requests that are still open; an attempt ends at the latest by its timeout.
+   */
   async stop (): Promise<void> {
     if (this.#phase === 'stopping') return
     this.#phase = 'stopping'
@@ -169,14 +172,14 @@
 
   override announceBackendServer (announcement: BackendServerAnnouncement): HeartbeatIntervals {
     const { heartbeatIntervalMs, backendExpireAfterMs } = this.#options.settings.timing
-    this.#membership.announce({ ...announcement, state: 'active' })
+    this.#backendBroadcast.announce({ ...announcement, state: 'active' })
     return { heartbeatIntervalMs, expireAfterMs: backendExpireAfterMs }
   }
 
   override deregisterBackendServer (backendServerId: string): Failure | undefined {
     const record = this.backendServers().find(known => known.backendServerId === backendServerId)
     if (record === undefined) return failure('not_found', `backend server ${backendServerId} is not known to this node`)
-    this.#membership.announce({ ...record, sequence: record.sequence + 1, state: 'leaving' })
+    this.#backendBroadcast.announce({ ...record, sequence: record.sequence + 1, state: 'leaving' })
     return undefined
   }
 
@@ -254,15 +257,15 @@
       log,
       hello: () => this.#createHello(),
       // A restarted peer knows no backend servers, so it gets all records as soon as the link is up.
-      onConnect: nodeId => { this.#membership.sendAllRecords(message => { this.#links.send(nodeId, message) }) },
+      onConnect: nodeId => { this.#backendBroadcast.sendAllRecords(message => { this.#links.send(nodeId, message) }) },
       onMessage: (fromNodeId, message) => { this.#receive(fromNodeId, message) },
       onDisconnect: nodeId => { this.#controlClient.onDisconnect(nodeId) }
     })
   }
 
-  #createMembershipBroadcast (): MembershipBroadcast {
+  #createBackendStateBroadcast (): BackendStateBroadcast {
     const { settings, routingSettings, clock } = this.#options
-    return new MembershipBroadcast({
+    return new BackendStateBroadcast({
       registry: this.#registry,
       router: this.#router,
       clock,
@@ -283,7 +286,7 @@
       case 'feed_request': this.#answerFeedRequest(fromNodeId, message); break
       case 'feed': this.#configuration.receive(message); break
       case 'members':
-      case 'load': this.#membership.receive(fromNodeId, message); break
+      case 'load': this.#backendBroadcast.receive(fromNodeId, message); break
     }
   }
 
@@ -361,15 +364,15 @@
 
   /** Waits up to the shutdown limit for open requests, and then for the settlements of their claims. */
   async #awaitOpenRequests (): Promise<void> {
-    const deadlineMs = this.nowMs() + this.#options.settings.limits.shutdownLimitMs
-    while (this.#requests.openRequests > 0 && this.nowMs() < deadlineMs) await delay(SHUTDOWN_POLL_INTERVAL_MS)
-    await Promise.race([this.#requests.awaitSettlements(), delay(Math.max(0, deadlineMs - this.nowMs()))])
+    const deadlineAtMs = this.nowMs() + this.#options.settings.limits.shutdownLimitMs
+    while (this.#requests.openRequests > 0 && this.nowMs() < deadlineAtMs) await delay(SHUTDOWN_POLL_INTERVAL_MS)
+    await Promise.race([this.#requests.awaitSettlements(), delay(Math.max(0, deadlineAtMs - this.nowMs()))])
   }
 
   async #closeAll (): Promise<void> {
     clearInterval(this.#feedTimer)
     clearInterval(this.#helloTimer)
-    this.#membership.stop()
+    this.#backendBroadcast.stop()
     this.#requests.close()
     await this.#http.stop()
     await this.#control?.stop()
--- a/packages/node/src/peer-messages.ts
+++ b/packages/node/src/peer-messages.ts
@@ -60,7 +60,9 @@
     readonly requestSentAtMs: number | null
     readonly leaseMs: number
   }
+  /** Records of backend servers that announced themselves to the sender, or all that it knows for a new link. */
   | { readonly kind: 'members', readonly records: readonly AgedRecord[] }
+  /** The sender's in-flight counts at backend servers. */
   | { readonly kind: 'load', readonly report: LoadReport }
 
 /** Size of the length prefix. */
--- a/packages/node/src/replica-host.ts
+++ b/packages/node/src/replica-host.ts
@@ -57,7 +57,7 @@
     return this.#runner?.replica ?? null
   }
 
-  /** Whether the first voter set is being, or has been, written to an empty disk. */
+  /** Whether this process has begun to write the first voter set to an empty disk; false after a restart. */
   get hasStartedBootstrap (): boolean {
     return this.#hasStartedBootstrap
   }
@@ -147,7 +147,7 @@
     const { replica } = this
     if (this.#isLeading || replica?.role !== 'leader' || this.#appliedTerm !== replica.term) return
     this.#isLeading = true
-    this.#options.log.info('control leadership started', { term: replica.term })
+    this.#options.log.info('leadership started', { term: replica.term })
     this.#options.machine.leadershipStarted(replica.term)
   }
 
@@ -155,7 +155,7 @@
     if (!this.#isLeading) return
     this.#isLeading = false
     this.#options.machine.leadershipEnded()
-    this.#options.log.info('control leadership ended')
+    this.#options.log.info('leadership ended')
   }
 
   #takeSnapshotIfDue (effect: EffectOf<Command, 'apply'>): void {
--- a/packages/node/src/scheduler-adapter.ts
+++ b/packages/node/src/scheduler-adapter.ts
@@ -58,8 +58,8 @@
     return undefined
   }
 
-  override restore (job: JobSpec, placement: Placement, startedMs: number): void {
-    this.#scheduler.restore(job, placement, startedMs)
+  override restore (job: JobSpec, placement: Placement, startedAtMs: number): void {
+    this.#scheduler.restore(job, placement, startedAtMs)
   }
 
   override cancel (jobId: string, nowMs: number): void {
@@ -98,7 +98,7 @@
   }
 
   #flushPendingReleases (): void {
-    for (const [jobId, releasedMs] of this.#pendingReleases) this.#scheduler.ended(jobId, releasedMs)
+    for (const [jobId, releasedAtMs] of this.#pendingReleases) this.#scheduler.ended(jobId, releasedAtMs)
     this.#pendingReleases.clear()
   }
 }
--- a/packages/node/src/settings.ts
+++ b/packages/node/src/settings.ts
@@ -7,12 +7,17 @@
 )
 const host = z.union([z.ipv4(), z.ipv6()], 'an IPv4 or IPv6 address')
 const port = z.int().min(1).max(65_535)
+/**
+ * `control` makes a node run a consensus replica of the control log. Every node serves HTTP, so `entry` changes
+ * nothing; it is the role of nodes without a replica, as at least one is required.
+ */
 const role = z.enum(['entry', 'control'])
 
 const nodeSchema = z.strictObject({
   nodeId: identifier,
   region: identifier,
   availabilityZone: identifier,
+  /** Decide what this node runs; not checked against the roles of its own entry in `peers.nodes`. */
   roles: z.array(role).min(1),
   dataFolder: z.string().min(1).optional()
 })
@@ -21,8 +26,11 @@
   nodeId: identifier,
   host,
   port,
+  /** Required, but not used by the node. */
   httpAddress: z.url(),
+  /** Required, but not used by the node: its own region is that of `node`. */
   region: identifier,
+  /** Nodes with the role `control` are the control nodes that form the first voter set. */
   roles: z.array(role).min(1)
 })
 
@@ -34,7 +42,10 @@
   requestReceiveTimeoutMs: z.int().min(100).max(600_000).default(15_000),
   /** Largest answer of a backend server. */
   maxAnswerBytes: z.int().min(1024).max(256 * 1024 * 1024).default(16 * 1024 * 1024),
-  /** Time that a graceful shutdown waits for open requests. */
+  /**
+   * Time that a graceful shutdown waits for open requests before it closes the servers and links. Closing the HTTP
+   * server waits for requests that still run, so that a shutdown may take longer.
+   */
   shutdownLimitMs: z.int().min(0).max(600_000).default(30_000)
 })
 
--- a/packages/node/src/voter-bootstrap.ts
+++ b/packages/node/src/voter-bootstrap.ts
@@ -11,7 +11,10 @@
 /** Next step of a node whose log is not initialised. */
 export type BootstrapDecision =
   | { readonly kind: 'wait' }
-  /** Initialise with this voter set; a node outside it only receives the log until it becomes a voter. */
+  /**
+   * Start the replica: this voter set is formed from all control nodes, or is that of an initialised peer. A node in it
+   * writes it as its initial log; a node outside it starts with an empty log, which it receives until it is a voter.
+   */
   | { readonly kind: 'initialise', readonly voters: readonly VoterId[] }
 
 /**
--- a/packages/node/src/worker-client.ts
+++ b/packages/node/src/worker-client.ts
@@ -3,6 +3,7 @@
 import { z } from 'zod'
 import type { OrderResult, WorkerOrder } from '@comfreygrade/control'
 
+/** With `stale_term` the worker refuses an order of an older leader term; `term` is the latest that it knows. */
 const answerSchema = z.object({
   term: z.number(),
   results: z.array(z.enum(['accepted', 'refused', 'stale_term', 'unknown_lease']))
--- a/packages/node/test/file-log.test.ts
+++ b/packages/node/test/file-log.test.ts
@@ -398,7 +398,7 @@
   t.is((await readOrCreateDiskId(folder, fileSystem.afterRestart('none'))).length, 36)
 })
 
-test('a folder is initialised only once it has log entries, so an interrupted bootstrap can be repeated', async t => {
+test('isFolderInitialised is true only once the folder has log entries, so not for one with only a disk ID', async t => {
   const fileSystem = new FakeFileSystem()
   t.false(await isFolderInitialised(folder, fileSystem))
   await readOrCreateDiskId(folder, fileSystem)
--- a/packages/node/test/settings.test.ts
+++ b/packages/node/test/settings.test.ts
@@ -13,6 +13,7 @@
     - { nodeId: n1, host: 127.0.0.1, port: 7201, httpAddress: 'http://127.0.0.1:7101', region: salto, roles: [entry] }
 consensus: { heartbeatIntervalMs: 80 }
 `
+// Stand-ins for the real defaults; `heartbeatIntervalMs` is not a setting of the consensus package.
 const defaults = { routing: {}, placement: {}, consensus: { heartbeatIntervalMs: 100 }, control: {} }
 
 test('omitted settings get their defaults', t => {
@@ -36,7 +37,7 @@
   t.true(lines.some(line => line.startsWith('n1.yaml:5: peers.host: found "localhost"')))
 })
 
-test('an override of an unknown setting is an error, so that a misspelt name is not ignored', t => {
+test('an override of a setting that has no default is an error, so that a misspelt name is not ignored', t => {
   const result = readSettings('n1.yaml', settingsText.replace('heartbeatIntervalMs: 80', 'heartbeatMs: 80'), defaults)
   t.is(result.kind, 'invalid')
   if (result.kind === 'invalid') t.like(result.problems[0], { line: 9, field: 'consensus.heartbeatMs', found: 'an unknown field' })
