--- a/packages/consensus/src/leader.ts
+++ b/packages/consensus/src/leader.ts
@@ -96,7 +96,8 @@
 
   /**
    * Until a new leader has committed an entry of its own term, it does not know which entries are committed, so it must
-   * not serve reads (section 6.4 of the Raft thesis).
+   * not serve reads (section 6.4 of the Raft thesis). After it has sent a transfer request, voters consider the
+   * target's vote request in spite of this lease, so another leader may be elected at any time.
    */
   override hasQuorumLease (nowMs: number): boolean {
     if (!this.#hasCommittedInTerm || this.#transfer.isRequestSent) return false
--- a/packages/consensus/src/leadership-transfer.ts
+++ b/packages/consensus/src/leadership-transfer.ts
@@ -27,7 +27,10 @@
     return this.#isRequestSent
   }
 
-  /** Monotonic time at which the transfer is abandoned; `Infinity` if none is in progress. */
+  /**
+   * Monotonic time at which the transfer is cancelled or, if the request was already sent, expires (see `isExpired`);
+   * `Infinity` if no transfer is in progress.
+   */
   get deadlineAtMs (): number {
     return this.#deadlineAtMs
   }
@@ -50,7 +53,7 @@
     this.sendWhenCaughtUp()
   }
 
-  /** Sends the request once the target has the whole log; cancels the transfer at the deadline. */
+  /** Sends the request once the target has the whole log; cancels the transfer if it is unsent at the deadline. */
   sendWhenCaughtUp (): void {
     if (this.#target === null || this.#isRequestSent) return
     if (this.#state.nowMs >= this.#deadlineAtMs) return this.#cancel()
--- a/packages/consensus/src/messages.ts
+++ b/packages/consensus/src/messages.ts
@@ -16,7 +16,10 @@
     readonly kind: 'voters'
     /** The voters; during joint consensus the new set. */
     readonly voters: readonly VoterId[]
-    /** The old voters, whose majority is also required during joint consensus; empty otherwise. */
+    /**
+     * The complete old voter set, including voters that stay. Its majority is also required during joint consensus;
+     * empty otherwise.
+     */
     readonly outgoingVoters: readonly VoterId[]
   }
   | { readonly kind: 'noop' }
@@ -51,6 +54,7 @@
 export type ConsensusMessage<Command> =
   | {
     readonly kind: 'vote_request'
+    /** The candidate's term; in a pre-vote, the term after the sender's current one, which it has not entered. */
     readonly term: number
     readonly isPreVote: boolean
     readonly lastIndex: number
@@ -58,6 +62,7 @@
     /** Set if the leader asked for this election, so that voters in contact with it consider the request. */
     readonly isTransfer: boolean
   }
+  /** `term` is the term of the voter, except in a granted pre-vote, which repeats the term of the request. */
   | { readonly kind: 'vote_response', readonly term: number, readonly isPreVote: boolean, readonly granted: boolean }
   | {
     readonly kind: 'append_request'
@@ -68,7 +73,8 @@
     readonly commitIndex: number
     /**
      * Latest round of heartbeats when the request was sent. The response repeats it, and the leader takes the start of
-     * that round, which is never too late, as the time of contact for check-quorum and for read leases.
+     * that round as the time of contact for check-quorum and for read leases. A round starts no later than its requests
+     * are sent, so a lease counted from its start never lasts too long.
      */
     readonly round: number
   }
@@ -90,6 +96,10 @@
   }
   /** `receivedBytes` equals the total size only once the snapshot is durable. */
   | { readonly kind: 'snapshot_ack', readonly term: number, readonly lastIndex: number, readonly receivedBytes: number }
+  /**
+   * Sent by the leader to the target of a leadership transfer, which then starts an election at once, without a
+   * pre-vote (TimeoutNow in section 3.10 of the Raft thesis). The leader's read lease ends when this is sent.
+   */
   | { readonly kind: 'transfer_leadership', readonly term: number }
 
 /**
@@ -134,7 +144,11 @@
   | { readonly kind: 'persisted', readonly persistId: number }
   /** A snapshot of the state machine is durable; the log up to its `lastIndex` may be discarded. */
   | { readonly kind: 'snapshot_saved', readonly snapshot: Snapshot }
-  /** Asks the leader to transfer leadership to another voter; no effect on other roles or if no voter responds. */
+  /**
+   * Asks the leader to transfer leadership to another voter; no effect on other roles or if no voter responds. In spite
+   * of the name, the replica does not become a follower at once; it remains the leader during the transfer (see
+   * `transferTimeoutMs`).
+   */
   | { readonly kind: 'step_down' }
 
 /**
--- a/packages/consensus/src/progress.ts
+++ b/packages/consensus/src/progress.ts
@@ -39,14 +39,17 @@
     return this.#matchIndex
   }
 
-  /** Time at which the latest message that the peer responded to was sent. */
+  /**
+   * Start of the latest round of heartbeats that the peer is known to have responded to; before its first response, the
+   * time at which it was added. The start of a round is at or before the time at which the request was sent.
+   */
   get lastContactAtMs (): number {
     return this.#lastContactAtMs
   }
 
-  /** Records a response to a message that was sent at `sentAtMs`. */
-  recordContact (sentAtMs: number): void {
-    this.#lastContactAtMs = Math.max(this.#lastContactAtMs, sentAtMs)
+  /** Records a response to a request of the round of heartbeats that started at `roundStartedAtMs`. */
+  recordContact (roundStartedAtMs: number): void {
+    this.#lastContactAtMs = Math.max(this.#lastContactAtMs, roundStartedAtMs)
   }
 
   /** Whether the in-flight limits allow another append. */
--- a/packages/consensus/src/replica.ts
+++ b/packages/consensus/src/replica.ts
@@ -102,7 +102,8 @@
 
   /**
    * Whether this replica is the leader and a majority acknowledged it within `leaseMs`, so that no other replica can
-   * have committed an entry that this one lacks. Requires a clock that keeps running while the process is paused.
+   * have committed an entry that this one lacks. False until it has committed an entry of its own term, and once it has
+   * asked another voter to take over leadership. Requires a clock that keeps running while the process is paused.
    *
    * @example
    * if (replica.hasQuorumLease(clock.monotonicMs())) readFromState()
--- a/packages/consensus/src/replication.ts
+++ b/packages/consensus/src/replication.ts
@@ -13,7 +13,7 @@
 export class Replication<Command> {
   readonly #state: ReplicaState<Command>
   readonly #peers = new Map<string, PeerProgress>()
-  readonly #roundSentAtMs = new Map<number, number>()
+  readonly #roundStartedAtMs = new Map<number, number>()
   #heartbeatRound = 0
 
   constructor (state: ReplicaState<Command>) {
@@ -41,8 +41,8 @@
    */
   sendHeartbeats (): void {
     this.#heartbeatRound++
-    this.#roundSentAtMs.set(this.#heartbeatRound, this.#state.nowMs)
-    this.#roundSentAtMs.delete(this.#heartbeatRound - trackedRounds)
+    this.#roundStartedAtMs.set(this.#heartbeatRound, this.#state.nowMs)
+    this.#roundStartedAtMs.delete(this.#heartbeatRound - trackedRounds)
     for (const peer of this.#peers.values()) this.#sendHeartbeatOrAppends(peer)
   }
 
@@ -124,7 +124,7 @@
   handleAppendResponse (from: VoterId, message: MessageOf<Command, 'append_response'>): void {
     const peer = this.peer(from)
     if (peer === undefined) return
-    peer.recordContact(this.#roundSentAtMs.get(message.round) ?? -Infinity)
+    peer.recordContact(this.#roundStartedAtMs.get(message.round) ?? -Infinity)
     if (message.success) this.#recordMatch(peer, message.matchIndex)
     else peer.recordMismatch(message.matchIndex)
     this.#sendAppendsTo(peer)
--- a/packages/consensus/src/role.ts
+++ b/packages/consensus/src/role.ts
@@ -2,7 +2,10 @@
 import type { ConsensusMessage, ReplicaEvent, ReplicaRole, VoterId } from './messages.js'
 import type { ReplicaState } from './state.js'
 
-/** Role transition requested by a handler. */
+/**
+ * Role transition requested by a handler: `follow` to follower, `pre_campaign` to pre-candidate, `campaign` to
+ * candidate in a new term, `lead` to leader.
+ */
 export type RoleChange =
   | { readonly kind: 'follow', readonly leader: VoterId | null }
   | { readonly kind: 'pre_campaign' }
@@ -48,7 +51,7 @@
     return undefined
   }
 
-  /** Handles a message of the current term. */
+  /** Handles a message of the current term, or a granted pre-vote, which carries the term after it. */
   receive (_from: VoterId, _message: ConsensusMessage<Command>): RoleResult {
     return undefined
   }
--- a/packages/consensus/src/settings.ts
+++ b/packages/consensus/src/settings.ts
@@ -13,7 +13,10 @@
   /** Range of the randomised delay after which a pre-vote without a majority is repeated. */
   readonly preVoteRetryMinMs: number
   readonly preVoteRetryMaxMs: number
-  /** Range of the randomised timeout after which a campaign without a majority ends. */
+  /**
+   * Range of the randomised timeout after which a campaign without a majority ends. A campaign is one candidate's
+   * attempt to win an election.
+   */
   readonly campaignMinMs: number
   readonly campaignMaxMs: number
   /**
@@ -50,7 +53,10 @@
   readonly learnerMaxLagEntries: number
   /** A replacement is aborted when the new voter has not responded for this long. */
   readonly learnerSilenceMs: number
-  /** Time after which a leadership transfer is abandoned. */
+  /**
+   * Time limit of a leadership transfer. If the target has not caught up by then, the transfer is cancelled; if it was
+   * already asked to start an election, the leader becomes a follower.
+   */
   readonly transferTimeoutMs: number
 }
 
--- a/packages/consensus/src/voter-replacement.ts
+++ b/packages/consensus/src/voter-replacement.ts
@@ -29,7 +29,10 @@
   readonly #state: ReplicaState<Command>
   readonly #replication: Replication<Command>
   #pending: PendingReplacement | null = null
-  /** Voters that still receive entries until the final entry is committed, so that they learn of their removal. */
+  /**
+   * Members of the joint configuration that the final one leaves out. They receive entries until the final entry is
+   * committed, so that they learn of their removal.
+   */
   #departingVoters: readonly VoterId[] = []
 
   constructor (state: ReplicaState<Command>, replication: Replication<Command>) {
--- a/packages/consensus/src/voters.ts
+++ b/packages/consensus/src/voters.ts
@@ -8,7 +8,7 @@
 export interface VoterConfiguration {
   /** The voters; during joint consensus the new set. */
   readonly voters: readonly VoterId[]
-  /** The old voters during joint consensus; empty otherwise. */
+  /** The complete old voter set during joint consensus, including voters that stay; empty otherwise. */
   readonly outgoingVoters: readonly VoterId[]
 }
 
--- a/packages/consensus/src/voting.ts
+++ b/packages/consensus/src/voting.ts
@@ -12,8 +12,10 @@
  * their term, except if that leader asked for the election (section 4.2.3 of the Raft thesis).
  *
  * A non-voter ignores requests: a replica with an empty disk may have voted, or acknowledged entries, before it lost
- * the previous disk. Its vote is not needed, as joint consensus ends only after the new voter has synced the
- * configuration.
+ * the previous disk. This includes a new voter whose log lacks the joint configuration, although it counts in the new
+ * voter set. If it replaces a voter that is already lost, its vote is not needed: any majority of the old set without
+ * the lost voter is also a majority of the new set. If the old voter still runs, or a voter is only added, its vote can
+ * be needed, so one failure fewer may be tolerated until its log has the joint configuration.
  */
 export function checkVoteRequest<Command> (
   state: ReplicaState<Command>, message: MessageOf<Command, 'vote_request'>
--- a/packages/consensus/test/histories.test.ts
+++ b/packages/consensus/test/histories.test.ts
@@ -3,10 +3,16 @@
 import type { Invariant } from './history-checker.js'
 import { Simulation, type InjectedFault } from './simulation.js'
 
+/**
+ * One step of a scenario. `step_down` asks the leader to transfer leadership; `replace_running` replaces a voter that
+ * still runs with an additional node.
+ */
 interface Action {
   readonly kind: 'propose' | 'crash' | 'start' | 'cut' | 'isolate' | 'heal' | 'freeze' | 'lose_disk' | 'snapshot' |
   'step_down' | 'replace_running' | 'power_failure' | 'start_all'
+  /** Position of the affected node, modulo the number of nodes; 5 selects the current leader. */
   readonly target: number
+  /** In `cut` the node at the other end of the link; in `propose` sets the number of proposals, 3 * `other` + 1. */
   readonly other: number
   readonly isTwoWay: boolean
   readonly waitMs: number
--- a/packages/core/src/configuration-schema.ts
+++ b/packages/core/src/configuration-schema.ts
@@ -23,7 +23,9 @@
 
 const organisationSchema = z.strictObject({
   organisationId: identifier,
-  /** Maximum number of accelerators in use by the organisation at any time, including lent ones. */
+  /**
+   * Maximum number of accelerators in use by the organisation at any time, including lent ones (see `CapacityClass`).
+   */
   quotaAccelerators: z.int().min(0).max(1_000_000),
   /** Weight in the fair sharing of request slots and in the order of waiting jobs, relative to other organisations. */
   weight: z.number().min(0.01).max(1000)
@@ -45,7 +47,10 @@
 const rulesSchema = z.strictObject({
   /** Maximum number of tasks of a gang job. */
   maxGangTasks: z.int().min(1).max(64),
-  /** Time limit for reclaiming lent capacity, counted from the time at which its job is asked to stop. */
+  /**
+   * Time limit for reclaiming lent capacity (see `CapacityClass`), counted from the time at which its job is asked to
+   * stop.
+   */
   reclaimWithinMs: z.int().min(100).max(600_000),
   maxRequestBodyBytes: z.int().min(1).max(64 * 1024 * 1024),
   /** Time limit of a short request, counted from its arrival, if the caller states none. */
--- a/packages/core/src/errors.ts
+++ b/packages/core/src/errors.ts
@@ -22,9 +22,9 @@
   | 'method_not_allowed'
   /** The gang has more tasks than allowed, or the inventory has no place of the required shape. */
   | 'impossible_shape'
-  /** The organisation would exceed a limit on its accelerators, open jobs or claims. */
+  /** The organisation would exceed one of its own limits, on accelerators, open jobs or claims. */
   | 'quota_exceeded'
-  /** A queue, or the number of open jobs, claims or drains, has reached its limit. */
+  /** A queue, or the number of open jobs, claims or drains in the whole system, has reached its limit. */
   | 'queue_full'
   /** Given the expected wait and service time, the request would end after its deadline. */
   | 'deadline_unreachable'
@@ -46,7 +46,10 @@
   | 'claim_completed'
   /** The idempotency key was used before for a request with other content. */
   | 'key_reused'
-  /** The idempotency key was issued too long ago. */
+  /**
+   * The idempotency key was issued longer ago than claims are kept. Its claim may have been deleted, so whether the
+   * request was executed can no longer be determined.
+   */
   | 'key_expired'
   /** The idempotency key is not a version 7 UUID, or its issue time is in the future. */
   | 'key_invalid'
@@ -66,11 +69,14 @@
   | 'version_conflict'
   /** The configuration change is not based on the current version. */
   | 'version_gap'
-  /** The inventory cannot hold all guarantees, even when all of it works. */
+  /** The inventory cannot hold all guarantees, even with every worker available. */
   | 'guarantee_unsatisfiable'
   /** The resulting configuration would be invalid, for example a worker without its rack. */
   | 'invalid_configuration'
-  /** This node has no lease on the configuration, so a newer one may be in effect. */
+  /**
+   * This node has no configuration lease, so a newer configuration may be in effect. The control leader grants this
+   * lease and renews it; it permits the node to serve requests under the configuration that it has.
+   */
   | 'configuration_stale'
   /** No control leader could take the request; it has not been executed. */
   | 'control_unavailable'
@@ -80,13 +86,16 @@
   | 'shutting_down'
   /** The caller disconnected before the work was executed. */
   | 'cancelled'
-  /** The request refers to an earlier worker incarnation, job lease or job phase (not a Raft term). */
+  /**
+   * The request refers to an earlier worker incarnation, job lease or job phase (not a Raft term). In a worker's answer
+   * to orders, the result of the same name means that the orders come from a leader of an earlier Raft term.
+   */
   | 'stale_term'
   /** An unexpected fault of this node; the work may have been executed. */
   | 'internal_error'
 
 /**
- * Whether the work of a rejected or failed request was executed; `not_applicable` if the request refers to something
+ * Whether the work of a refused or failed request was executed; `not_applicable` if the request refers to something
  * that does not exist.
  */
 export type Outcome = 'not_run' | 'unknown' | 'completed' | 'not_applicable'
@@ -96,7 +105,8 @@
  *
  * - `now`: at once.
  * - `later`: after `retryAfterMs`.
- * - `never`: the request would fail again, or it was completed.
+ * - `never`: the request would fail again, it was completed, or (`key_expired`) whether it was executed can no longer
+ *   be determined.
  * - `ask_outcome`: only if it was not executed, which the caller must find out first: for a request with an idempotency
  *   key by reading its claim, otherwise by reading the state that the request would have changed.
  */
@@ -106,8 +116,9 @@
 export interface ErrorResponse {
   readonly httpStatus: number
   readonly outcome: Outcome
+  /** The retry advice, under its name in the response body. */
   readonly repeat: RetryAdvice
-  /** Default delay before a retry, in milliseconds; 0 if no delay applies. */
+  /** Default delay before a retry, or before the outcome is asked for, in milliseconds; 0 if no delay applies. */
   readonly retryAfterMs: number
 }
 
@@ -165,7 +176,9 @@
   readonly kind: ErrorKind
   /** One sentence with the actual and the allowed values. */
   readonly detail: string
-  /** Delay before a retry in milliseconds; defaults to the value in `errorTable`. */
+  /**
+   * Delay in milliseconds before a retry, or before the outcome is asked for; defaults to the value in `errorTable`.
+   */
   readonly retryAfterMs?: number
 }
 
@@ -204,7 +217,7 @@
   return retryAfterMs === undefined ? { kind, detail } : { kind, detail, retryAfterMs }
 }
 
-/** JSON body of the response to a rejected or failed request. */
+/** JSON body of the response to a refused or failed request. */
 export interface ErrorBody {
   readonly error: ErrorKind
   readonly detail: string
--- a/packages/core/src/jobs.ts
+++ b/packages/core/src/jobs.ts
@@ -11,7 +11,8 @@
  *
  * - `checkpoint`: it may write a checkpoint before it is stopped, and may be started again.
  * - `repeat`: it is stopped without a checkpoint, and may be started again.
- * - `none`: it is never preempted, and is not started again once it has started.
+ * - `none`: it is never preempted, and is not started again once it has started, so it fails if a worker is lost after
+ *   that.
  */
 export type Preemption = 'checkpoint' | 'repeat' | 'none'
 
@@ -30,7 +31,13 @@
 /** Final result of a job. */
 export type JobOutcome = 'completed' | 'failed' | 'cancelled' | 'refused'
 
-/** Whether a placement uses capacity guaranteed to the organisation or capacity lent to it. */
+/**
+ * Whether a placement uses capacity guaranteed to the organisation or capacity lent to it.
+ *
+ * - `guaranteed`: capacity that a guarantee of the organisation covers; it is not reclaimed.
+ * - `lent`: free capacity outside the organisation's guarantees, possibly guaranteed to others. It is reclaimed, that
+ *   is, its job is stopped, when a guarantee or an urgent job needs it, unless the job's preemption is `none`.
+ */
 export type CapacityClass = 'guaranteed' | 'lent'
 
 /** A gang job as submitted. */
@@ -68,7 +75,7 @@
   readonly reason: string
 }
 
-/** Why a job is waiting, or how it was placed or rejected. */
+/** Why a job is waiting, or how it was placed or refused. */
 export interface JobExplanation {
   readonly jobId: string
   /** `reclaiming`: the job runs on lent capacity that is being reclaimed; `unknown`: no such job waits or runs. */
--- a/packages/core/src/members.ts
+++ b/packages/core/src/members.ts
@@ -32,7 +32,8 @@
  * State of a worker in the control state. Only an `active` worker gets new tasks.
  *
  * - `draining`: it is being emptied, for example before maintenance.
- * - `lost`: it has no lease, for example because its heartbeats stopped.
+ * - `lost`: it has no worker lease, for example because its heartbeats stopped. The worker lease is renewed by answers
+ *   to heartbeats and permits the worker to run tasks until it ends.
  * - `quarantined`: it is excluded from placement after failures.
  */
 export type WorkerState = 'active' | 'draining' | 'lost' | 'quarantined'
@@ -44,7 +45,10 @@
 export interface TaskReport {
   readonly jobId: string
   readonly taskIndex: number
-  /** Lease under which the job's tasks were placed; each placement of the job has a new one. */
+  /**
+   * Job lease under which the job's tasks were placed. It identifies one placement, so that orders and reports of an
+   * earlier placement of the job have no effect.
+   */
   readonly leaseId: number
   readonly state: TaskState
 }
--- a/packages/core/src/ports.ts
+++ b/packages/core/src/ports.ts
@@ -1,6 +1,6 @@
 /** Ports for metrics and logging, shared by the packages that contain no I/O. Adapters are in node and batch-node. */
 
-/** Tags of a metric, for example the error kind of rejected requests. */
+/** Tags of a metric, for example the error kind of refused requests. */
 export type MetricTags = Readonly<Record<string, string>>
 
 /** Port for counters, gauges and timings. */
--- a/packages/core/test/configuration.test.ts
+++ b/packages/core/test/configuration.test.ts
@@ -22,12 +22,12 @@
   t.deepEqual(change, { version: 2, baseVersion: 1, upserts: [], removes: [] })
 })
 
-test('a change based on an older version is rejected, so that concurrent operators do not overwrite each other', t => {
+test('a change based on an older version is refused, so that concurrent operators do not overwrite each other', t => {
   const result = applyChange(createConfiguration(), { version: 1, baseVersion: 0, upserts: [], removes: [] })
   t.is(result.ok ? undefined : result.failure.kind, 'version_gap')
 })
 
-test('removing a rack that still has workers is rejected, so that no worker refers to a missing rack', t => {
+test('removing a rack that still has workers is refused, so that no worker refers to a missing rack', t => {
   const change = { version: 2, baseVersion: 1, upserts: [], removes: [{ kind: 'rack' as const, id: 'r1' }] }
   const result = applyChange(createConfiguration(), change)
   t.is(result.ok ? undefined : result.failure.kind, 'invalid_configuration')
