--- a/packages/batch-node/src/batch-service.ts
+++ b/packages/batch-node/src/batch-service.ts
@@ -9,7 +9,7 @@
 } from '@comfreygrade/batch'
 import type { LogStorage, RecoveredLog, Replica, ReplicaSettings, VoterId } from '@comfreygrade/consensus'
 import { fail, type Clock, type EventLog, type Metrics, type Random } from '@comfreygrade/core'
-import { ReplicaHost, StateMachine } from '@comfreygrade/node/adapters'
+import { ReplicatedStateMachine, StateMachine } from '@comfreygrade/node/adapters'
 import type { LeaderRequest, LeaderResponse, BatchMessage } from './messages.js'
 import type { AdvicePort, VmPort } from './ports.js'
 
@@ -42,7 +42,7 @@
 /** Runs the replica, applies committed commands and passes events to the leader. */
 export class BatchService extends StateMachine<BatchCommand> {
   readonly #options: BatchServiceOptions
-  readonly #replicaHost: ReplicaHost<BatchCommand>
+  readonly #replicatedStateMachine: ReplicatedStateMachine<BatchCommand>
   readonly #codec = new Encoder({ useRecords: false, mapsAsObjects: true })
   readonly #pendingRequests = new Map<string, ResponseCallback>()
   #state: BatchState
@@ -53,18 +53,18 @@
     super()
     this.#options = options
     this.#state = new BatchState(options.settings)
-    this.#replicaHost = new ReplicaHost({
+    this.#replicatedStateMachine = new ReplicatedStateMachine({
       ...options,
       clock: options.leaseClock,
-      machine: this,
+      stateMachine: this,
       send: ({ to, message }) => { options.send(to.nodeId, { kind: 'raft', from: options.self, to, message }) }
     })
-    this.#replicaHost.run(options.recovered)
+    this.#replicatedStateMachine.start(options.recovered)
   }
 
-  /** Never null after construction: {@link ReplicaHost} has none before its start, which the constructor completes. */
+  /** Never null: {@link ReplicatedStateMachine} has no replica before its start, which the constructor completes. */
   get replica (): Replica<BatchCommand> | null {
-    return this.#replicaHost.replica
+    return this.#replicatedStateMachine.replica
   }
 
   get leaderNodeId (): string | null {
@@ -72,19 +72,19 @@
   }
 
   get isActiveLeader (): boolean {
-    return this.#replicaHost.isActiveLeader
+    return this.#replicatedStateMachine.isActiveLeader
   }
 
   /** Passes a consensus message to the replica. */
   receiveConsensusMessage ({ from, to, message }: Extract<BatchMessage, { kind: 'raft' }>): void {
     // A message addressed to a former disk of this node must not reach the replica on the new, empty one.
     if (to.diskId !== this.#options.self.diskId) return
-    this.#replicaHost.step({ kind: 'message', from, message })
+    this.#replicatedStateMachine.step({ kind: 'message', from, message })
   }
 
   /** Handles a request if this node is the active leader; answers `not_leader` otherwise. */
   async handleRequest (request: LeaderRequest): Promise<LeaderResponse> {
-    if (!this.#replicaHost.isActiveLeader || this.#leader === undefined) {
+    if (!this.#replicatedStateMachine.isActiveLeader || this.#leader === undefined) {
       return { kind: 'not_leader', leaderNodeId: this.leaderNodeId }
     }
     const requestId = randomUUID()
@@ -96,17 +96,17 @@
 
   /** Proposes to replace a voter, or to add one if `remove` is null. */
   changeVoters (remove: VoterId | null, add: VoterId): void {
-    this.#replicaHost.step({ kind: 'replace_voter', proposalId: randomUUID(), remove, add })
+    this.#replicatedStateMachine.step({ kind: 'replace_voter', proposalId: randomUUID(), remove, add })
   }
 
   /** Transfers leadership to another voter before a shutdown. */
   stepDown (): void {
-    this.#replicaHost.step({ kind: 'step_down' })
+    this.#replicatedStateMachine.step({ kind: 'step_down' })
   }
 
   async stop (): Promise<void> {
     clearTimeout(this.#tickTimer)
-    await this.#replicaHost.stop()
+    await this.#replicatedStateMachine.stop()
   }
 
   override apply (command: BatchCommand, proposalId: string, _index: number, logTimeMs: number): void {
@@ -159,7 +159,7 @@
   #performEffect (effect: LeaderEffect): void {
     switch (effect.kind) {
       case 'propose':
-        this.#replicaHost.step({ kind: 'propose', proposalId: effect.proposalId, command: effect.command })
+        this.#replicatedStateMachine.step({ kind: 'propose', proposalId: effect.proposalId, command: effect.command })
         break
       case 'reply':
         this.#respond(effect.requestId, { kind: 'result', result: effect.result })
@@ -183,7 +183,7 @@
     const resolve = this.#pendingRequests.get(requestId)
     this.#pendingRequests.delete(requestId)
     if (resolve === undefined) return
-    if (this.#replicaHost.isActiveLeader) return resolve(response)
+    if (this.#replicatedStateMachine.isActiveLeader) return resolve(response)
     resolve({ kind: 'result', result: fail('outcome_unknown', 'the control leader lost its quorum') })
   }
 
@@ -194,8 +194,8 @@
   }
 
   async #requestTickets ({ stepKey, workerIds }: Extract<LeaderEffect, { kind: 'ask_advice' }>): Promise<void> {
-    const askedAtMs = this.#options.clock.monotonicMs()
+    const requestedAtMs = this.#options.clock.monotonicMs()
     const tickets = await this.#options.advice.requestTickets(stepKey, workerIds)
-    this.#dispatch({ kind: 'advice', stepKey, tickets, askedAtMs })
+    this.#dispatch({ kind: 'advice', stepKey, tickets, requestedAtMs })
   }
 }
--- a/packages/batch/src/leader.ts
+++ b/packages/batch/src/leader.ts
@@ -31,7 +31,7 @@
     readonly kind: 'advice'
     readonly stepKey: string
     readonly tickets: readonly Ticket[] | undefined
-    readonly askedAtMs: number
+    readonly requestedAtMs: number
   }
   | { readonly kind: 'maintenance_answered', readonly call: MaintenanceCall, readonly answer: MaintenanceAnswer }
   | { readonly kind: 'tick' }
@@ -209,12 +209,12 @@
     this.#effects.push({ kind: 'ask_advice', stepKey: key, workerIds })
   }
 
-  #handleAdvice ({ stepKey: key, tickets, askedAtMs }: Extract<LeaderEvent, { kind: 'advice' }>): void {
+  #handleAdvice ({ stepKey: key, tickets, requestedAtMs }: Extract<LeaderEvent, { kind: 'advice' }>): void {
     const job = this.#options.state.job(jobIdOf(key))
     const queue = job === undefined ? undefined : this.#options.state.directory?.at(job.queueAddress)
     const validMs = queue?.advice?.ticketValidMs ?? 0
     this.#options.log.info('advice answered', { stepKey: key, granted: tickets?.length ?? null })
-    this.#tickets.completeRequest(key, tickets, this.#registry.incarnations(), validMs, askedAtMs)
+    this.#tickets.completeRequest(key, tickets, this.#registry.incarnations(), validMs, requestedAtMs)
     this.#isPassDue = true
   }
 
--- a/packages/batch/src/maintenance.ts
+++ b/packages/batch/src/maintenance.ts
@@ -74,7 +74,7 @@
    */
   startDueCalls (): MaintenanceCall[] {
     const nowMs = this.#options.clock.monotonicMs()
-    if (this.#isFenced || nowMs - this.#termStartedAtMs < this.#options.settings.orderLeaseMs) return []
+    if (this.#isFenced || nowMs - this.#termStartedAtMs < this.#options.settings.maintenanceCallGraceMs) return []
     const calls: MaintenanceCall[] = []
     for (const record of this.#options.state.waves()) {
       this.#cordonNextVms(record, nowMs)
--- a/packages/batch/src/settings.ts
+++ b/packages/batch/src/settings.ts
@@ -77,7 +77,7 @@
    * Time from the start of a term for which a maintenance call of an earlier leader may still be in progress; the new
    * leader begins no maintenance before that.
    */
-  readonly orderLeaseMs: number
+  readonly maintenanceCallGraceMs: number
   /** Time from the beginning of a VM's maintenance until its worker is certainly back. */
   readonly maintenanceDownMs: number
   /**
@@ -124,7 +124,7 @@
   stalledAfterMs: 4_000,
   suspectAfterMs: 1_500,
   gangWaitMs: 3_000,
-  orderLeaseMs: 3_000,
+  maintenanceCallGraceMs: 3_000,
   maintenanceDownMs: 3_500,
   maxMaintenanceDrainMs: 10_000,
   endedJobRetentionMs: 240_000,
--- a/packages/batch/test/leader.test.ts
+++ b/packages/batch/test/leader.test.ts
@@ -139,7 +139,7 @@
   t.deepEqual(fixture.adviceRequests.map(({ stepKey, workerIds }) => [stepKey, workerIds]), [['j1.0.0', ['w1', 'w2']]])
   t.deepEqual(fixture.heartbeat('w1')?.starts, [])
   const tickets = [{ workerId: 'w2', ticket: 't-2' }]
-  fixture.deliver({ kind: 'advice', stepKey: 'j1.0.0', tickets, askedAtMs: fixture.clock.monotonicMs() })
+  fixture.deliver({ kind: 'advice', stepKey: 'j1.0.0', tickets, requestedAtMs: fixture.clock.monotonicMs() })
   fixture.advance(50)
   t.deepEqual(fixture.heartbeat('w1')?.starts, [])
   t.is(fixture.heartbeat('w2')?.starts[0]?.ticket, 't-2')
--- a/packages/bench/src/capacity-cost.ts
+++ b/packages/bench/src/capacity-cost.ts
@@ -1,6 +1,6 @@
 /** Resource use of nodes: the difference between two readings of their status. */
 import { setTimeout as delay } from 'node:timers/promises'
-import type { StatusAnswer } from '@comfreygrade/cli'
+import type { StatusResponse } from '@comfreygrade/cli'
 import type { LocalCluster } from './capacity-system.js'
 
 /** The leader, any other control node (`voter`), or a node without a replica (`entry`), at the end of a measurement. */
@@ -63,7 +63,7 @@
     .join(', ')
 }
 
-function resourceUseBetween (before: StatusAnswer, after: StatusAnswer): ResourceUse {
+function resourceUseBetween (before: StatusResponse, after: StatusResponse): ResourceUse {
   const elapsedS = (after.uptimeMs - before.uptimeMs) / 1_000
   const rates = Object.entries(after.counters).map(([name, value]) =>
     [name, (value - (before.counters[name] ?? 0)) / elapsedS] as const)
@@ -81,7 +81,7 @@
   }
 }
 
-function measuredRole ({ replica }: StatusAnswer): MeasuredRole {
+function measuredRole ({ replica }: StatusResponse): MeasuredRole {
   if (replica === null) return 'entry'
   return replica.role === 'leader' ? 'leader' : 'voter'
 }
--- a/packages/bench/src/capacity-system.ts
+++ b/packages/bench/src/capacity-system.ts
@@ -2,7 +2,7 @@
 import { mkdir, mkdtemp, rm, writeFile } from 'node:fs/promises'
 import { tmpdir } from 'node:os'
 import { join } from 'node:path'
-import { NodeClient, type StatusAnswer } from '@comfreygrade/cli'
+import { NodeClient, type StatusResponse } from '@comfreygrade/cli'
 import { findFreePorts, NodeProcess, waitFor } from '@comfreygrade/standins'
 
 const NODE_SCRIPT = join(import.meta.dirname, '../../node/dist/main.js')
@@ -54,7 +54,9 @@
     await Promise.all(nodes.map(async node => { await writeSettings(folder, node, nodes) }))
     const cluster = new LocalCluster(folder, nodes)
     try {
-      await Promise.all([...cluster.#processes.values()].map(async node => { await node.ready(READY_TIMEOUT_MS) }))
+      await Promise.all([...cluster.#processes.values()].map(async node => {
+        await node.waitUntilReady(READY_TIMEOUT_MS)
+      }))
       await cluster.#awaitLeases()
       return cluster
     } catch (error) {
@@ -73,7 +75,7 @@
     return this.#clientOf(this.#nodes[index]?.nodeId ?? '')
   }
 
-  async statuses (): Promise<StatusAnswer[]> {
+  async statuses (): Promise<StatusResponse[]> {
     return await Promise.all(this.#nodes.map(async ({ nodeId }) => await this.#clientOf(nodeId).status()))
   }
 
@@ -81,7 +83,7 @@
   async restart (nodeId: string): Promise<void> {
     await this.#processes.get(nodeId)?.kill()
     this.#spawn(nodeId)
-    await this.#processes.get(nodeId)?.ready(READY_TIMEOUT_MS)
+    await this.#processes.get(nodeId)?.waitUntilReady(READY_TIMEOUT_MS)
   }
 
   /** Kills the processes, closes the clients and removes the files. */
--- a/packages/bench/src/capacity-urgent-bench.ts
+++ b/packages/bench/src/capacity-urgent-bench.ts
@@ -49,7 +49,7 @@
 
 function createWorkers (cluster: LocalCluster): StandInWorker[] {
   return createInventory(WORKERS).workers.map(({ workerId, accelerators }) => new StandInWorker({
-    workerId, accelerators, entries: cluster.addresses.slice(3), runTimes: new FixedRunTime(RUN_MS)
+    workerId, accelerators, entryAddresses: cluster.addresses.slice(3), runTimes: new FixedRunTime(RUN_MS)
   }))
 }
 
--- a/packages/bench/src/consensus-simulation.ts
+++ b/packages/bench/src/consensus-simulation.ts
@@ -1,6 +1,7 @@
 /** Replicas on a manual clock, for measurements that must not depend on the speed of the machine. */
 import {
-  defaultReplicaSettings, Replica, sameVoter, type ConsensusMessage, type ReplicaEffect, type ReplicaEvent, type VoterId
+  defaultReplicaSettings, isSameVoter, Replica, type ConsensusMessage, type ReplicaEffect, type ReplicaEvent,
+  type VoterId
 } from '@comfreygrade/consensus'
 import { ManualClock, Random } from '@comfreygrade/core'
 import type { BenchCommand } from './consensus-adapters.js'
@@ -81,7 +82,7 @@
     }
     if (effect.kind !== 'send') return
     this.#onMessage(id, effect.to, effect.message)
-    const receiverId = [...this.#replicas.keys()].find(candidate => sameVoter(candidate, effect.to))
+    const receiverId = [...this.#replicas.keys()].find(candidate => isSameVoter(candidate, effect.to))
     if (receiverId === undefined) return
     this.#schedule(NETWORK_DELAY_MS, () => this.#step(receiverId, { kind: 'message', from: id, message: effect.message }))
   }
--- a/packages/bench/src/control-load.ts
+++ b/packages/bench/src/control-load.ts
@@ -36,9 +36,9 @@
   override restore (): void {}
   override cancel (): void {}
   override taskFailed (): void {}
-  override ended (): void {}
-  override reclaimed (): void {}
-  override pass (): PlacementDecision[] { return [] }
+  override jobEnded (): void {}
+  override jobReclaimed (): void {}
+  override runPass (): PlacementDecision[] { return [] }
   override explain (jobId: string): JobExplanation {
     return { jobId, state: 'unknown', reason: '', queuePosition: 0, blockedByJobIds: [] }
   }
@@ -160,7 +160,7 @@
 /** Returns the report of a worker that runs all tasks placed on it. */
 export function benchReport (state: ControlState, worker: number, sequence: number): WorkerReport {
   const workerId = `worker-${worker}`
-  const tasks = state.cellsOn(workerId).map(({ jobId, leaseId, task }) =>
+  const tasks = state.allocatedCells(workerId).map(({ jobId, leaseId, task }) =>
     ({ jobId, leaseId, taskIndex: task.taskIndex, state: 'running' as const }))
   return { workerId, incarnation: 1, sequence, address: state.worker(workerId)?.address ?? '', tasks }
 }
--- a/packages/bench/src/placement-bench.ts
+++ b/packages/bench/src/placement-bench.ts
@@ -60,11 +60,11 @@
 
 class WithoutBestFit extends BuddyCellPolicy {
   override readonly name = 'without best fit'
-  override candidateRacks (...parameters: Parameters<FirstFitPolicy['candidateRacks']>): Iterable<number> {
-    return new FirstFitPolicy().candidateRacks(...parameters)
+  override racksInSearchOrder (...parameters: Parameters<FirstFitPolicy['racksInSearchOrder']>): Iterable<number> {
+    return new FirstFitPolicy().racksInSearchOrder(...parameters)
   }
 
-  override takesSmallestCell (): boolean {
+  override usesBestFit (): boolean {
     return false
   }
 }
--- a/packages/bench/src/placement-decision-time.ts
+++ b/packages/bench/src/placement-decision-time.ts
@@ -99,7 +99,7 @@
         this.#submit()
       } else {
         this.#nowMs = Math.max(this.#nowMs, end.atMs)
-        this.#scheduler.ended(end.jobId, this.#nowMs)
+        this.#scheduler.jobEnded(end.jobId, this.#nowMs)
         this.#runMs.delete(end.jobId)
       }
       times.push(this.#pass())
@@ -146,12 +146,12 @@
 
   #pass (): number {
     const startedMs = performance.now()
-    const decisions = this.#scheduler.pass(this.#nowMs)
+    const decisions = this.#scheduler.runPass(this.#nowMs)
     const elapsedMs = performance.now() - startedMs
     for (const decision of decisions) {
       const { jobId } = decision
       if (decision.kind === 'place') this.#ends.push({ atMs: this.#nowMs + this.#runMs.get(jobId)!, jobId })
-      if (decision.kind === 'reclaim') this.#scheduler.reclaimed(jobId, this.#nowMs)
+      if (decision.kind === 'reclaim') this.#scheduler.requeue(jobId, this.#nowMs)
     }
     return elapsedMs
   }
--- a/packages/bench/src/placement-simulation.ts
+++ b/packages/bench/src/placement-simulation.ts
@@ -179,7 +179,7 @@
 
   #pass (): void {
     this.#passes += 1
-    for (const decision of this.#scheduler.pass(this.#nowMs)) this.#execute(decision)
+    for (const decision of this.#scheduler.runPass(this.#nowMs)) this.#execute(decision)
   }
 
   #execute (decision: PlacementDecision): void {
@@ -230,7 +230,7 @@
 
   #requeue (state: JobState): void {
     this.#releasePlacement(state)
-    this.#scheduler.reclaimed(state.job.spec.jobId, this.#nowMs)
+    this.#scheduler.requeue(state.job.spec.jobId, this.#nowMs)
   }
 
   #releasePlacement (state: JobState): void {
@@ -247,7 +247,7 @@
 
   #finish (state: JobState, outcome: JobResult['outcome']): void {
     this.#releasePlacement(state)
-    this.#scheduler.ended(state.job.spec.jobId, this.#nowMs)
+    this.#scheduler.jobEnded(state.job.spec.jobId, this.#nowMs)
     this.#close(state, outcome)
   }
 
--- a/packages/bench/src/routing-simulation.ts
+++ b/packages/bench/src/routing-simulation.ts
@@ -1,5 +1,5 @@
 /** Simulation of entry nodes with a router each, backend servers, callers and the network between them. */
-import { CountingMetrics, Random, type BackendServerRecord, type RequestSpec } from '@comfreygrade/core'
+import { InMemoryMetrics, Random, type BackendServerRecord, type RequestSpec } from '@comfreygrade/core'
 import {
   BackendRegistry, defaultRoutingSettings, LocalityPolicy, RequestRouter, RoundRobinPolicy,
   type AttemptFailureReason, type LoadReport, type RoutingEffect, type RoutingEvent, type RoutingPolicy,
@@ -59,7 +59,7 @@
   readonly region: string
   readonly availabilityZone: string
   readonly registry = new BackendRegistry(RECORD_EXPIRY_MS)
-  readonly metrics = new CountingMetrics()
+  readonly metrics = new InMemoryMetrics()
   readonly router: RequestRouter
   gossipedVersion = 0
   wakeAtMs = Infinity
@@ -189,11 +189,11 @@
   }
 
   #shareLoad (node: EntryNode): void {
-    const report: LoadReport = node.router.loadReport(this.#settings.loadShareMaxBytes, this.#events.nowMs)
+    const report: LoadReport = node.router.nextLoadReport(this.#settings.loadShareMaxBytes, this.#events.nowMs)
     if (report.entries.length === 0) return
     this.#reports++
     this.#reportBytes += JSON.stringify(report).length
-    this.#sendToPeers(node, peer => peer.router.peerLoad(node.nodeId, report, this.#events.nowMs))
+    this.#sendToPeers(node, peer => peer.router.applyPeerLoadReport(node.nodeId, report, this.#events.nowMs))
   }
 
   #sendToPeers (node: EntryNode, deliver: (peer: EntryNode) => void): void {
@@ -346,7 +346,7 @@
   switch (result) {
     case 'connect_failed': return attemptFailed(requestId, attempt, 'not_sent', 'connect_failed')
     case 'rejected': return attemptFailed(requestId, attempt, 'maybe_sent', 'rejected')
-    default: return { kind: 'answered', requestId, attempt, quality: result }
+    default: return { kind: 'answered', requestId, attempt, status: result }
   }
 }
 
--- a/packages/cli/src/api-types.ts
+++ b/packages/cli/src/api-types.ts
@@ -35,7 +35,7 @@
 }
 
 /** A job as the API reports it. */
-export interface JobAnswer {
+export interface JobResponse {
   readonly spec: JobSpec
   readonly phase: JobPhase
   readonly outcome: JobOutcome | null
@@ -52,7 +52,7 @@
 
 /** Response of `GET /v1/jobs` and `GET /v1/queue`; `total` includes the jobs beyond the limit. */
 export interface JobListResponse {
-  readonly jobs: readonly JobAnswer[]
+  readonly jobs: readonly JobResponse[]
   readonly total: number
 }
 
@@ -129,7 +129,7 @@
 }
 
 /** Response of `GET /v1/status`. */
-export interface StatusAnswer {
+export interface StatusResponse {
   readonly nodeId: string
   readonly region: string
   readonly availabilityZone: string
@@ -155,7 +155,7 @@
 }
 
 /** Response to a short request: the backend server's response and the values of the node's own headers. */
-export interface ShortRequestAnswer {
+export interface ShortRequestResponse {
   readonly status: number
   readonly contentType: string
   readonly body: Buffer
--- a/packages/cli/src/command.ts
+++ b/packages/cli/src/command.ts
@@ -2,7 +2,7 @@
 import type { ExitReason } from './exit.js'
 import type { NodeClient } from './node-client.js'
 import type { Output, Streams } from './output.js'
-import { type FileReading, formatFileProblem } from '@comfreygrade/documents'
+import { type ValidationResult, formatFileProblem } from '@comfreygrade/documents'
 
 /** Parsed flags of the command line. */
 export interface CommandOptions {
@@ -70,7 +70,7 @@
     return value === undefined ? 'usage' : await this.runWith(value, context)
   }
 
-  protected abstract parse (file: string, text: string): FileReading<T>
+  protected abstract parse (file: string, text: string): ValidationResult<T>
   protected abstract runWith (value: T, context: CommandContext): Promise<ExitReason>
 }
 
@@ -80,7 +80,9 @@
  * @returns undefined when the file is missing or invalid
  */
 async function readInput<T> (
-  { output, streams, readFile }: CommandContext, file: string, parse: (file: string, text: string) => FileReading<T>
+  { output, streams, readFile }: CommandContext,
+  file: string,
+  parse: (file: string, text: string) => ValidationResult<T>
 ): Promise<T | undefined> {
   try {
     const text = file === '-' ? (await streams.readStdin()).toString('utf8') : await readFile(file)
--- a/packages/cli/src/configuration-commands.ts
+++ b/packages/cli/src/configuration-commands.ts
@@ -3,20 +3,20 @@
   type Configuration, type ConfigurationChange, type ConfigurationDocument, diffDocument,
   fromDocument, type Upsert
 } from '@comfreygrade/core'
-import type { FileReading } from '@comfreygrade/documents'
+import type { ValidationResult } from '@comfreygrade/documents'
 import { stringify } from 'yaml'
 import type { ConfigurationResponse, ConfigurationStatusResponse } from './api-types.js'
 import { ClientError } from './client-error.js'
 import { type CommandContext, FileCommand, SingleCallCommand } from './command.js'
-import { readConfigurationFile } from './configuration-file.js'
+import { parseConfigurationFile } from './configuration-file.js'
 import { type ExitReason, exitReasonOf } from './exit.js'
 import type { NodeClient } from './node-client.js'
 import { renderTable } from './tables.js'
 
 /** A command whose argument is a configuration file. */
 abstract class ConfigurationFileCommand extends FileCommand<ConfigurationDocument> {
-  protected override parse (file: string, text: string): FileReading<ConfigurationDocument> {
-    return readConfigurationFile(file, text)
+  protected override parse (file: string, text: string): ValidationResult<ConfigurationDocument> {
+    return parseConfigurationFile(file, text)
   }
 }
 
--- a/packages/cli/src/configuration-file.ts
+++ b/packages/cli/src/configuration-file.ts
@@ -1,16 +1,16 @@
 /** Validates a configuration file without a node: schema, duplicates and references, with all errors at once. */
 import { applyChange, type ConfigurationDocument, configurationDocumentSchema, diffDocument, emptyConfiguration } from '@comfreygrade/core'
-import { type FieldProblem, type FileReading, readYaml } from '@comfreygrade/documents'
+import { type FieldProblem, type ValidationResult, parseYaml } from '@comfreygrade/documents'
 
 /**
  * Parses and validates the inventory and rules that operators edit.
  *
  * @example
- * const result = readConfigurationFile('inventory.yaml', await readFile('inventory.yaml', 'utf8'))
+ * const result = parseConfigurationFile('inventory.yaml', await readFile('inventory.yaml', 'utf8'))
  * if (result.kind === 'valid') console.log(result.value.workers.length)
  */
-export function readConfigurationFile (file: string, text: string): FileReading<ConfigurationDocument> {
-  return readYaml(file, text, configurationDocumentSchema, validateDocument)
+export function parseConfigurationFile (file: string, text: string): ValidationResult<ConfigurationDocument> {
+  return parseYaml(file, text, configurationDocumentSchema, validateDocument)
 }
 
 function validateDocument (document: ConfigurationDocument): FieldProblem[] {
--- a/packages/cli/src/fleet-commands.ts
+++ b/packages/cli/src/fleet-commands.ts
@@ -1,6 +1,6 @@
 /** `fleet`, `queue`, `guarantees`, `drain`, `undrain` and `status`. */
 import {
-  type DrainKind, drainKinds, type FleetResponse, type GuaranteeSummary, type JobListResponse, type StatusAnswer
+  type DrainKind, drainKinds, type FleetResponse, type GuaranteeSummary, type JobListResponse, type StatusResponse
 } from './api-types.js'
 import { Command, type CommandContext, SingleCallCommand } from './command.js'
 import type { ExitReason } from './exit.js'
@@ -54,15 +54,15 @@
 }
 
 /** `status`. */
-export class StatusCommand extends SingleCallCommand<StatusAnswer> {
+export class StatusCommand extends SingleCallCommand<StatusResponse> {
   override readonly words = ['status']
   override readonly summary = 'show the status and counters of the node that responds'
 
-  protected override async fetch ({ client }: CommandContext): Promise<StatusAnswer> {
+  protected override async fetch ({ client }: CommandContext): Promise<StatusResponse> {
     return await client.status()
   }
 
-  protected override render (status: StatusAnswer): string {
+  protected override render (status: StatusResponse): string {
     return renderFields(status)
   }
 }
--- a/packages/cli/src/index.ts
+++ b/packages/cli/src/index.ts
@@ -1,4 +1,4 @@
-export { formatFileProblem, type FileProblem, type FileReading } from '@comfreygrade/documents'
+export { formatFileProblem, type FileProblem, type ValidationResult } from '@comfreygrade/documents'
 export * from './api-types.js'
 export * from './client-error.js'
 export * from './command-line.js'
--- a/packages/cli/src/job-commands.ts
+++ b/packages/cli/src/job-commands.ts
@@ -1,8 +1,8 @@
 /** `jobs` and `job submit|show|cancel|explain|watch`. */
 import { setTimeout as delay } from 'node:timers/promises'
 import type { JobExplanation, JobPhase, JobSpec } from '@comfreygrade/core'
-import type { FileReading } from '@comfreygrade/documents'
-import type { JobAnswer, JobListResponse } from './api-types.js'
+import type { ValidationResult } from '@comfreygrade/documents'
+import type { JobResponse, JobListResponse } from './api-types.js'
 import { Command, type CommandContext, FileCommand, SingleCallCommand } from './command.js'
 import type { ExitReason } from './exit.js'
 import { parseJobFile } from './job-file.js'
@@ -29,7 +29,7 @@
   override readonly parameters = ['FILE|-']
   override readonly summary = 'submit a gang job from a YAML or JSON file or from stdin'
 
-  protected override parse (file: string, text: string): FileReading<JobSpec> {
+  protected override parse (file: string, text: string): ValidationResult<JobSpec> {
     return parseJobFile(file, text)
   }
 
@@ -41,31 +41,31 @@
 }
 
 /** `job show ID`. */
-export class JobShowCommand extends SingleCallCommand<JobAnswer> {
+export class JobShowCommand extends SingleCallCommand<JobResponse> {
   override readonly words = ['job', 'show']
   override readonly parameters = ['ID']
   override readonly summary = 'show a job and where it runs'
 
-  protected override async fetch ({ client, args }: CommandContext): Promise<JobAnswer> {
+  protected override async fetch ({ client, args }: CommandContext): Promise<JobResponse> {
     return await client.job(args[0] ?? '')
   }
 
-  protected override render (job: JobAnswer): string {
+  protected override render (job: JobResponse): string {
     return renderJob(job)
   }
 }
 
 /** `job cancel ID`. */
-export class JobCancelCommand extends SingleCallCommand<JobAnswer> {
+export class JobCancelCommand extends SingleCallCommand<JobResponse> {
   override readonly words = ['job', 'cancel']
   override readonly parameters = ['ID']
   override readonly summary = 'cancel a job'
 
-  protected override async fetch ({ client, args }: CommandContext): Promise<JobAnswer> {
+  protected override async fetch ({ client, args }: CommandContext): Promise<JobResponse> {
     return await client.cancelJob(args[0] ?? '')
   }
 
-  protected override render ({ spec }: JobAnswer): string {
+  protected override render ({ spec }: JobResponse): string {
     return `job ${spec.jobId} is cancelled or has ended`
   }
 }
@@ -105,22 +105,22 @@
 }
 
 /** Renders jobs as a table; `total` includes the jobs beyond the limit. */
-export function renderJobs (jobs: readonly JobAnswer[], total: number): string {
+export function renderJobs (jobs: readonly JobResponse[], total: number): string {
   const rows = jobs.map(({ spec, phase, outcome, starts, detail }) => (
     [spec.jobId, spec.organisationId, spec.priority, describeGangShape(spec), phase, outcome ?? '-', starts, detail]))
   const head = ['job', 'organisation', 'priority', 'shape', 'phase', 'outcome', 'starts', 'detail']
   return `${renderTable(head, rows)}\n${jobs.length} of ${total} jobs`
 }
 
-function describeState ({ phase, outcome, detail }: JobAnswer): string {
+function describeState ({ phase, outcome, detail }: JobResponse): string {
   return outcome === null ? `${phase}: ${detail}` : `${phase} as ${outcome}: ${detail}`
 }
 
-function describeGangShape ({ tasks, acceleratorsPerTask, acceleratorModel, adjacency }: JobAnswer['spec']): string {
+function describeGangShape ({ tasks, acceleratorsPerTask, acceleratorModel, adjacency }: JobResponse['spec']): string {
   return `${tasks} x ${acceleratorsPerTask} ${acceleratorModel} (${adjacency})`
 }
 
-function renderJob (job: JobAnswer): string {
+function renderJob (job: JobResponse): string {
   const { placement, ...fields } = job
   if (placement === null) return renderFields(fields)
   const rows = placement.tasks.map(({ taskIndex, workerId, firstAccelerator, acceleratorCount }) => (
--- a/packages/cli/src/job-file.ts
+++ b/packages/cli/src/job-file.ts
@@ -2,7 +2,7 @@
 import { randomBytes } from 'node:crypto'
 import type { JobSpec } from '@comfreygrade/core'
 import { z } from 'zod'
-import { type FileReading, readYaml } from '@comfreygrade/documents'
+import { type ValidationResult, parseYaml } from '@comfreygrade/documents'
 
 const identifier = z.string().regex(/^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$/)
 
@@ -31,8 +31,8 @@
  * @example
  * parseJobFile('job.yaml', text)
  */
-export function parseJobFile (file: string, text: string): FileReading<JobSpec> {
-  const result = readYaml(file, text, jobSchema, () => [])
+export function parseJobFile (file: string, text: string): ValidationResult<JobSpec> {
+  const result = parseYaml(file, text, jobSchema, () => [])
   if (result.kind === 'invalid') return result
   const { jobId, ...rest } = result.value
   return { kind: 'valid', value: { jobId: jobId ?? generateJobId(rest.jobClass), ...rest } }
--- a/packages/cli/src/node-client.ts
+++ b/packages/cli/src/node-client.ts
@@ -2,7 +2,7 @@
 import type { ConfigurationChange, JobExplanation, JobPhase, JobSpec, Repeatability } from '@comfreygrade/core'
 import type {
   ChangeResponse, ClaimResponse, ConfigurationResponse, ConfigurationStatusResponse, Drain, FleetResponse,
-  GuaranteeSummary, JobAnswer, JobListResponse, ShortRequestAnswer, StatusAnswer
+  GuaranteeSummary, JobResponse, JobListResponse, ShortRequestResponse, StatusResponse
 } from './api-types.js'
 import { ClientError } from './client-error.js'
 import { findRefusal, type NodeCall, type NodeResponse, NodeTransport } from './node-transport.js'
@@ -90,16 +90,16 @@
   }
 
   /** Submits a gang job. A repeated submission with the same job ID does not create a second job. */
-  async submitJob (job: JobSpec): Promise<JobAnswer> {
+  async submitJob (job: JobSpec): Promise<JobResponse> {
     return await this.#postJson('/v1/jobs', job)
   }
 
-  async job (jobId: string): Promise<JobAnswer> {
+  async job (jobId: string): Promise<JobResponse> {
     return await this.#getJson(`/v1/jobs/${encodeURIComponent(jobId)}`)
   }
 
   /** Cancels a job; has no effect on a job that has ended. */
-  async cancelJob (jobId: string): Promise<JobAnswer> {
+  async cancelJob (jobId: string): Promise<JobResponse> {
     return await this.#callJson({ method: 'DELETE', path: `/v1/jobs/${encodeURIComponent(jobId)}`, isIdempotent: true })
   }
 
@@ -119,7 +119,7 @@
   }
 
   /** Returns the status of the node that responds. */
-  async status (): Promise<StatusAnswer> {
+  async status (): Promise<StatusResponse> {
     return await this.#getJson('/v1/status')
   }
 
@@ -129,7 +129,7 @@
   }
 
   /** Sends a short request. A non-repeatable request without an idempotency key is sent only once, to one node. */
-  async sendRequest (request: ShortRequest): Promise<ShortRequestAnswer> {
+  async sendRequest (request: ShortRequest): Promise<ShortRequestResponse> {
     const isIdempotent = request.repeatability === 'idempotent' || request.idempotencyKey !== undefined
     const response = await this.#transport.send({
       method: 'POST',
@@ -199,7 +199,7 @@
   return headers
 }
 
-function toShortRequestResponse ({ status, headers, body }: NodeResponse): ShortRequestAnswer {
+function toShortRequestResponse ({ status, headers, body }: NodeResponse): ShortRequestResponse {
   return {
     status,
     contentType: headers['content-type'] ?? '',
--- a/packages/cli/src/request-commands.ts
+++ b/packages/cli/src/request-commands.ts
@@ -1,5 +1,5 @@
 /** `request SERVICE` and `claim ORG KEY`. */
-import type { ClaimResponse, ShortRequestAnswer } from './api-types.js'
+import type { ClaimResponse, ShortRequestResponse } from './api-types.js'
 import { Command, type CommandContext, SingleCallCommand } from './command.js'
 import type { ExitReason } from './exit.js'
 import type { ShortRequest } from './node-client.js'
@@ -64,12 +64,12 @@
   }
 }
 
-function writeResponse ({ output, streams }: CommandContext, response: ShortRequestAnswer): void {
+function writeResponse ({ output, streams }: CommandContext, response: ShortRequestResponse): void {
   streams.write(response.body)
   const { status, requestId, attempts, claim } = response
   output.writeNote(`status ${status}, request ${requestId}, attempts ${attempts}, claim ${claim}`)
 }
 
-function toJson ({ body, ...rest }: ShortRequestAnswer): object {
+function toJson ({ body, ...rest }: ShortRequestResponse): object {
   return { ...rest, bodyBase64: body.toString('base64') }
 }
--- a/packages/cli/test/files.test.ts
+++ b/packages/cli/test/files.test.ts
@@ -1,5 +1,5 @@
 import test from 'ava'
-import { formatFileProblem, parseJobFile, readConfigurationFile } from '../src/index.js'
+import { formatFileProblem, parseJobFile, parseConfigurationFile } from '../src/index.js'
 
 const rules = 'rules: { maxGangTasks: 64, reclaimWithinMs: 3000, maxRequestBodyBytes: 1, defaultDeadlineMs: 1, maxDeadlineMs: 2 }'
 
@@ -7,7 +7,7 @@
   `  - { workerId: ${id}, rackId: ${rack}, rackPosition: ${position}, cores: 64, memoryGb: 256, acceleratorModel: gpu, accelerators: 8 }`
 
 function formatProblems (text: string): string[] {
-  const result = readConfigurationFile('f.yaml', text)
+  const result = parseConfigurationFile('f.yaml', text)
   return result.kind === 'valid' ? [] : result.problems.map(formatFileProblem)
 }
 
--- a/packages/cli/test/node-client.test.ts
+++ b/packages/cli/test/node-client.test.ts
@@ -2,7 +2,7 @@
 import type { ClaimView, ConfigurationStatus, JobView, WorkerView } from '@comfreygrade/control'
 import type { FleetReport } from '@comfreygrade/placement'
 import type {
-  ClaimResponse, ConfigurationStatusResponse, FleetSummary, JobAnswer, WorkerSummary
+  ClaimResponse, ConfigurationStatusResponse, FleetSummary, JobResponse, WorkerSummary
 } from '../src/index.js'
 import { ClientError, NodeClient, type ShortRequest, uuidV7 } from '../src/index.js'
 import { errorResponse, FakeNode } from './fake-node.js'
@@ -13,7 +13,7 @@
  */
 type AssertAssignable<Client, Node extends Client> = Node
 export type CheckedTypes = [
-  AssertAssignable<JobAnswer, JobView>, AssertAssignable<ConfigurationStatusResponse, ConfigurationStatus>,
+  AssertAssignable<JobResponse, JobView>, AssertAssignable<ConfigurationStatusResponse, ConfigurationStatus>,
   AssertAssignable<WorkerSummary, WorkerView>, AssertAssignable<FleetSummary, FleetReport>,
   AssertAssignable<Omit<ClaimResponse, 'answer'>, ClaimView>
 ]
--- a/packages/consensus/src/campaign.ts
+++ b/packages/consensus/src/campaign.ts
@@ -2,7 +2,7 @@
 import type { ConsensusMessage, VoterId } from './messages.js'
 import { Role, type MessageOf, type RoleResult } from './role.js'
 import type { ReplicaState } from './state.js'
-import { allVoters, hasMajority, sameVoter, voterKey } from './voters.js'
+import { allVoters, hasMajority, isSameVoter, voterKey } from './voters.js'
 
 /** Collects votes until a majority of each voter set has granted them. */
 abstract class CampaignRole<Command> extends Role<Command> {
@@ -20,7 +20,7 @@
   }
 
   protected otherVoters (): VoterId[] {
-    return allVoters(this.state.configuration).filter(voter => !sameVoter(voter, this.state.id))
+    return allVoters(this.state.configuration).filter(voter => !isSameVoter(voter, this.state.id))
   }
 }
 
--- a/packages/consensus/src/leader.ts
+++ b/packages/consensus/src/leader.ts
@@ -6,7 +6,7 @@
 import { Role, type EventOf, type RoleResult } from './role.js'
 import type { ReplicaState } from './state.js'
 import { LeadershipTransfer } from './leadership-transfer.js'
-import { allVoters, includesVoter, isJoint, majorityValue, sameVoter } from './voters.js'
+import { allVoters, includesVoter, isJoint, majorityValue, isSameVoter } from './voters.js'
 
 /** Appends, replicates and commits entries (sections 5.3 and 5.4 of the Raft paper), with check-quorum and leases. */
 export class LeaderRole<Command> extends Role<Command> {
@@ -156,7 +156,7 @@
   }
 
   #matchIndex (voter: VoterId): number {
-    if (sameVoter(voter, this.state.id)) return this.state.durableIndex
+    if (isSameVoter(voter, this.state.id)) return this.state.durableIndex
     return this.#replication.peer(voter)?.matchIndex ?? 0
   }
 
@@ -166,7 +166,7 @@
   }
 
   #lastContactAtMs (voter: VoterId): number {
-    if (sameVoter(voter, this.state.id)) return this.state.nowMs
+    if (isSameVoter(voter, this.state.id)) return this.state.nowMs
     return this.#replication.peer(voter)?.lastContactAtMs ?? -Infinity
   }
 
--- a/packages/consensus/src/replica.ts
+++ b/packages/consensus/src/replica.ts
@@ -7,7 +7,7 @@
 } from './messages.js'
 import type { MessageOf, Role, RoleChange, RoleResult } from './role.js'
 import { ReplicaState, type ReplicaOptions } from './state.js'
-import { isJoint, sameVoter, type VoterConfiguration } from './voters.js'
+import { isJoint, isSameVoter, type VoterConfiguration } from './voters.js'
 import { respondToPreVoteRequest, respondToVoteRequest, checkVoteRequest, rejectVote } from './voting.js'
 
 /** Term of the entry that contains the first voter set; the first leader is elected in the next term. */
@@ -164,7 +164,7 @@
 
   #completePersist (persistId: number): RoleResult {
     for (const { to, message } of this.#state.completePersist(persistId)) {
-      if (sameVoter(to, this.#state.id)) this.#changeRole(this.#role.receive(to, message))
+      if (isSameVoter(to, this.#state.id)) this.#changeRole(this.#role.receive(to, message))
       else this.#state.send(to, message)
     }
     return this.#role.onPersisted()
@@ -216,7 +216,7 @@
   #acceptLeader (leader: VoterId): void {
     if (this.#state.role === 'leader') throw new Error(`another replica also claims to lead term ${this.#state.term}`)
     const currentLeader = this.#state.leader
-    if (currentLeader === null || !sameVoter(currentLeader, leader)) this.#changeRole({ kind: 'follow', leader })
+    if (currentLeader === null || !isSameVoter(currentLeader, leader)) this.#changeRole({ kind: 'follow', leader })
   }
 
   #changeRole (change: RoleResult): void {
--- a/packages/consensus/src/replication.ts
+++ b/packages/consensus/src/replication.ts
@@ -4,7 +4,7 @@
 import type { MessageOf } from './role.js'
 import { SnapshotSender } from './snapshot-transfer.js'
 import type { ReplicaState } from './state.js'
-import { sameVoter, voterKey } from './voters.js'
+import { isSameVoter, voterKey } from './voters.js'
 
 /** Number of heartbeat rounds whose send time is kept; responses to older rounds do not count as recent contact. */
 const trackedRounds = 64
@@ -27,7 +27,7 @@
 
   /** Sets the replicas to replicate to; this replica itself is left out. */
   setPeers (ids: readonly VoterId[]): void {
-    const newPeerIds = new Map(ids.filter(id => !sameVoter(id, this.#state.id)).map(id => [voterKey(id), id]))
+    const newPeerIds = new Map(ids.filter(id => !isSameVoter(id, this.#state.id)).map(id => [voterKey(id), id]))
     for (const key of this.#peers.keys()) if (!newPeerIds.has(key)) this.#peers.delete(key)
     for (const [key, id] of newPeerIds) {
       if (this.#peers.has(key)) continue
--- a/packages/consensus/src/snapshot-transfer.ts
+++ b/packages/consensus/src/snapshot-transfer.ts
@@ -1,7 +1,7 @@
 /** Transfer of a snapshot in chunks (section 7 of the Raft paper). */
 import type { Snapshot, VoterId } from './messages.js'
 import type { MessageOf } from './role.js'
-import { sameVoter } from './voters.js'
+import { isSameVoter } from './voters.js'
 
 /** Sends the chunks of a snapshot from the leader; at most one chunk is in flight. */
 export class SnapshotSender {
@@ -84,7 +84,7 @@
   }
 
   #isSameTransfer (from: VoterId, message: MessageOf<Command, 'snapshot_chunk'>): boolean {
-    return this.#from !== null && sameVoter(this.#from, from) && this.#term === message.term &&
+    return this.#from !== null && isSameVoter(this.#from, from) && this.#term === message.term &&
       this.#totalBytes === message.totalBytes && this.#metadata?.lastIndex === message.snapshot.lastIndex
   }
 
--- a/packages/consensus/src/state.ts
+++ b/packages/consensus/src/state.ts
@@ -8,7 +8,7 @@
 import { PersistQueue, type OutgoingMessage } from './persist-queue.js'
 import { PendingProposals } from './pending-proposals.js'
 import { validateSettings, type ReplicaSettings } from './settings.js'
-import { allVoters, includesVoter, sameVoter, type VoterConfiguration } from './voters.js'
+import { allVoters, includesVoter, isSameVoter, type VoterConfiguration } from './voters.js'
 
 /** Constructor options of a replica. */
 export interface ReplicaOptions<Command> {
@@ -246,5 +246,5 @@
 
 function isSameLeader (left: VoterId | null, right: VoterId | null): boolean {
   if (left === null || right === null) return left === right
-  return sameVoter(left, right)
+  return isSameVoter(left, right)
 }
--- a/packages/consensus/src/voter-replacement.ts
+++ b/packages/consensus/src/voter-replacement.ts
@@ -3,7 +3,7 @@
 import type { Replication } from './replication.js'
 import type { EventOf } from './role.js'
 import type { ReplicaState } from './state.js'
-import { allVoters, includesVoter, isJoint, sameVoter } from './voters.js'
+import { allVoters, includesVoter, isJoint, isSameVoter } from './voters.js'
 
 interface PendingReplacement {
   readonly proposalId: string
@@ -108,7 +108,7 @@
   }
 
   #hasSynced (voter: VoterId, index: number): boolean {
-    if (sameVoter(voter, this.#state.id)) return this.#state.durableIndex >= index
+    if (isSameVoter(voter, this.#state.id)) return this.#state.durableIndex >= index
     return (this.#replication.peer(voter)?.matchIndex ?? 0) >= index
   }
 
@@ -162,5 +162,5 @@
 
 function applyReplacement (voters: readonly VoterId[], { remove, add }: PendingReplacement): VoterId[] {
   if (remove === null) return [...voters, add]
-  return voters.map(voter => sameVoter(voter, remove) ? add : voter)
+  return voters.map(voter => isSameVoter(voter, remove) ? add : voter)
 }
--- a/packages/consensus/src/voters.ts
+++ b/packages/consensus/src/voters.ts
@@ -26,9 +26,9 @@
  * Whether both identify the same node with the same disk.
  *
  * @example
- * sameVoter({ nodeId: 'salto-1', diskId: 'a' }, { nodeId: 'salto-1', diskId: 'b' }) // false
+ * isSameVoter({ nodeId: 'salto-1', diskId: 'a' }, { nodeId: 'salto-1', diskId: 'b' }) // false
  */
-export function sameVoter (one: VoterId, other: VoterId): boolean {
+export function isSameVoter (one: VoterId, other: VoterId): boolean {
   return one.nodeId === other.nodeId && one.diskId === other.diskId
 }
 
@@ -39,7 +39,7 @@
  * includesVoter(replica.voters, id)
  */
 export function includesVoter (voters: readonly VoterId[], voter: VoterId): boolean {
-  return voters.some(candidate => sameVoter(candidate, voter))
+  return voters.some(candidate => isSameVoter(candidate, voter))
 }
 
 /** The union of both voter sets. */
--- a/packages/consensus/src/voting.ts
+++ b/packages/consensus/src/voting.ts
@@ -2,7 +2,7 @@
 import type { VoterId } from './messages.js'
 import type { MessageOf } from './role.js'
 import type { ReplicaState } from './state.js'
-import { sameVoter } from './voters.js'
+import { isSameVoter } from './voters.js'
 
 /** Whether a vote request is ignored, rejected at once or considered. */
 export type VoteVerdict = 'ignore' | 'reject' | 'consider'
@@ -44,7 +44,7 @@
 export function respondToVoteRequest<Command> (
   state: ReplicaState<Command>, from: VoterId, message: MessageOf<Command, 'vote_request'>
 ): void {
-  const canVote = state.votedFor === null || sameVoter(state.votedFor, from)
+  const canVote = state.votedFor === null || isSameVoter(state.votedFor, from)
   const isCandidateUpToDate = state.log.isAtMostAsUpToDateAs(message.lastIndex, message.lastTerm)
   if (!canVote || !isCandidateUpToDate) return rejectVote(state, from, false)
   if (state.votedFor === null) state.setHardState(state.term, from)
--- a/packages/consensus/test/simulation.ts
+++ b/packages/consensus/test/simulation.ts
@@ -1,6 +1,6 @@
 import { Random } from '@comfreygrade/core'
 import {
-  defaultReplicaSettings, includesVoter, Replica, sameVoter, type ConsensusMessage, type LogEntry, type ReplicaEffect,
+  defaultReplicaSettings, includesVoter, Replica, isSameVoter, type ConsensusMessage, type LogEntry, type ReplicaEffect,
   type ReplicaEvent, type ReplicaSettings, type Snapshot, type VoterId
 } from '../src/index.js'
 import { FakeDisk } from './fake-disk.js'
@@ -176,7 +176,7 @@
     const remove = node.id
     const add = { nodeId: remove.nodeId, diskId: `d${Number(remove.diskId.slice(1)) + 1}` }
     if (this.#options.fault === 'new_disk_adds_itself') {
-      node.disk.durable = Replica.initialLog([add, ...this.#initialVoters.filter(voter => !sameVoter(voter, remove))])
+      node.disk.durable = Replica.initialLog([add, ...this.#initialVoters.filter(voter => !isSameVoter(voter, remove))])
     }
     node.id = add
     this.#pendingReplacement = { remove, add }
@@ -232,7 +232,7 @@
   #assumeReplacementComplete (): void {
     const { remove, add } = this.#pendingReplacement ?? {}
     if (remove === undefined || add === undefined) return
-    this.#voters = this.#voters.map(voter => sameVoter(voter, remove) ? add : voter)
+    this.#voters = this.#voters.map(voter => isSameVoter(voter, remove) ? add : voter)
     this.#pendingReplacement = null
   }
 
@@ -415,7 +415,7 @@
     this.sentCounts.set(message.kind, (this.sentCounts.get(message.kind) ?? 0) + 1)
     this.onSend(message)
     this.history.recordMessage(node.id, to, message)
-    const receiver = this.nodes.find(candidate => sameVoter(candidate.id, to))
+    const receiver = this.nodes.find(candidate => isSameVoter(candidate.id, to))
     if (receiver === undefined || this.#cutLinks.has(`${node.id.nodeId}>${to.nodeId}`)) return
     const from = node.id
     const copies = this.#random.nextFloat() < this.#messageFaultRate ? (this.#random.nextFloat() < 0.5 ? 0 : 2) : 1
--- a/packages/control/src/gang-life-cycle.ts
+++ b/packages/control/src/gang-life-cycle.ts
@@ -139,7 +139,7 @@
 
   /** Updates the tasks on a worker from its report, which is keyed by `taskReportKey`. */
   onReport (workerId: string, reports: ReadonlyMap<string, TaskReport>, nowMs: number): void {
-    for (const { jobId, leaseId, task: { taskIndex } } of this.#context.state.cellsOn(workerId)) {
+    for (const { jobId, leaseId, task: { taskIndex } } of this.#context.state.allocatedCells(workerId)) {
       const gang = this.#find(jobId, leaseId)
       const task = gang?.findTask(taskIndex)
       if (gang === undefined || task === undefined || task.progress === 'released') continue
@@ -152,7 +152,7 @@
 
   /** Handles the end of a worker process or of its lease, after which none of its tasks can be running. */
   onWorkerGone (workerId: string, reason: string, nowMs: number): void {
-    for (const { jobId, leaseId, task: { taskIndex } } of this.#context.state.cellsOn(workerId)) {
+    for (const { jobId, leaseId, task: { taskIndex } } of this.#context.state.allocatedCells(workerId)) {
       const gang = this.#find(jobId, leaseId)
       const task = gang?.findTask(taskIndex)
       if (gang === undefined || task === undefined || task.progress === 'completed') continue
--- a/packages/control/src/leader.ts
+++ b/packages/control/src/leader.ts
@@ -122,8 +122,8 @@
       case 'operation': this.#operations.handle(event.requestId, event.operation, nowMs); break
       case 'applied': this.#onCommitted(event, nowMs); break
       case 'proposal_rejected': this.#onProposalRejected(event.proposalId, event.outcome === 'not_applied', nowMs); break
-      case 'orders_answered': this.#onOrderOutcomes(outbox.onAnswered(event.orderId, event.results, nowMs), nowMs); break
-      case 'orders_failed': this.#onOrderOutcomes(outbox.onFailed(event.orderId, nowMs), nowMs); break
+      case 'orders_answered': this.#onOrderOutcomes(outbox.onAnswered(event.messageId, event.results, nowMs), nowMs); break
+      case 'orders_failed': this.#onOrderOutcomes(outbox.onFailed(event.messageId, nowMs), nowMs); break
       case 'worker_reported': this.#workers.onReport(event.report, nowMs); break
       case 'tick': break
     }
--- a/packages/control/src/operation-service.ts
+++ b/packages/control/src/operation-service.ts
@@ -219,7 +219,7 @@
       workerId: record.workerId,
       state: record.state === 'active' ? this.#activeState(record.workerId, quarantined) : record.state,
       address: record.address,
-      tasks: this.#context.state.cellsOn(record.workerId).length
+      tasks: this.#context.state.allocatedCells(record.workerId).length
     }))
     return { kind: 'fleet', report, workers, drains: this.#context.state.drains(), backendServers: [] }
   }
--- a/packages/control/src/order-outbox.ts
+++ b/packages/control/src/order-outbox.ts
@@ -129,7 +129,7 @@
     this.#timers.set(workerId, nowMs + this.#settings.orderTimeoutMs)
     const { incarnation, address } = session
     const orders = message.orders.map(order => ({ ...order, incarnation, leaseMs: this.#settings.leaseMs }))
-    return { kind: 'send_orders', orderId: message.messageId, workerId, address, term: this.#term, orders }
+    return { kind: 'send_orders', messageId: message.messageId, workerId, address, term: this.#term, orders }
   }
 
   #takeMessage (workerId: string, queue: WorkerQueue): OrderMessage {
--- a/packages/control/src/orders.ts
+++ b/packages/control/src/orders.ts
@@ -62,10 +62,10 @@
     readonly proposalId: string
     readonly outcome?: 'not_applied' | 'unknown'
   }
-  /** `orderId` identifies the message of a `send_orders` effect; there is one result for each of its orders. */
-  | { readonly kind: 'orders_answered', readonly orderId: string, readonly results: readonly OrderResult[] }
+  /** `messageId` identifies the message of a `send_orders` effect; there is one result for each of its orders. */
+  | { readonly kind: 'orders_answered', readonly messageId: string, readonly results: readonly OrderResult[] }
   /** The worker was unreachable or did not answer; the orders may have arrived. */
-  | { readonly kind: 'orders_failed', readonly orderId: string }
+  | { readonly kind: 'orders_failed', readonly messageId: string }
   /**
    * A report that is handled like the operation `report_worker`, but not answered, so that the worker gets no lease for
    * it. The control nodes use the operation.
@@ -78,7 +78,7 @@
   | { readonly kind: 'propose', readonly proposalId: string, readonly command: ControlCommand }
   | {
     readonly kind: 'send_orders'
-    readonly orderId: string
+    readonly messageId: string
     readonly workerId: string
     readonly address: string
     readonly term: number
--- a/packages/control/src/ports.ts
+++ b/packages/control/src/ports.ts
@@ -35,15 +35,15 @@
   /** Records that a task of a job failed on a worker. The job keeps its cells until it is ended or reclaimed. */
   abstract taskFailed (jobId: string, workerId: string, nowMs: number): void
   /** Removes a placed job. Its tasks are all released or completed, or its placement was rejected or refused. */
-  abstract ended (jobId: string, nowMs: number): void
+  abstract jobEnded (jobId: string, nowMs: number): void
   /** Like the removal of an ended job, for one that the leader stopped because of a `reclaim` decision. */
-  abstract reclaimed (jobId: string, nowMs: number): void
+  abstract jobReclaimed (jobId: string, nowMs: number): void
   /**
    * Runs a scheduling pass. A job of a returned `place` decision counts as placed from then on, before its command is
    * committed. If the command is rejected or refused, the leader removes the job and, if it still waits, submits it
    * again.
    */
-  abstract pass (nowMs: number): PlacementDecision[]
+  abstract runPass (nowMs: number): PlacementDecision[]
   /** Explains why a job waits, or how it was placed or refused. */
   abstract explain (jobId: string, nowMs: number): JobExplanation
   /** Returns the state of the fleet for operators. */
--- a/packages/control/src/scheduler-driver.ts
+++ b/packages/control/src/scheduler-driver.ts
@@ -60,8 +60,8 @@
     const hasEndedEarly = outcome !== null && outcome !== 'completed'
     if (phase === 'waiting' || hasEndedEarly) scheduler.cancel(jobId, nowMs)
     if (phase === 'waiting') return this.requestPass()
-    if (isReclaimed) scheduler.reclaimed(jobId, nowMs)
-    else scheduler.ended(jobId, nowMs)
+    if (isReclaimed) scheduler.jobReclaimed(jobId, nowMs)
+    else scheduler.jobEnded(jobId, nowMs)
     this.requestPass()
   }
 
@@ -70,7 +70,7 @@
     if (nowMs < this.nextWakeAtMs()) return []
     this.#isPassRequested = false
     this.#lastPassMs = nowMs
-    const decisions = this.#context.scheduler.pass(nowMs)
+    const decisions = this.#context.scheduler.runPass(nowMs)
     for (const decision of decisions) {
       if (decision.kind === 'place') this.#phases.set(decision.jobId, 'placed')
     }
--- a/packages/control/src/state.ts
+++ b/packages/control/src/state.ts
@@ -179,7 +179,7 @@
   }
 
   /** Returns the cells of a worker that are allocated to placed jobs. */
-  cellsOn (workerId: string): readonly CellAllocation[] {
+  allocatedCells (workerId: string): readonly CellAllocation[] {
     return this.#jobs.allocations.forWorker(workerId)
   }
 
--- a/packages/control/src/worker-service.ts
+++ b/packages/control/src/worker-service.ts
@@ -119,7 +119,7 @@
    */
   onWorkerRemoved (workerId: string, nowMs: number): void {
     this.#availability.refresh(workerId, nowMs)
-    for (const { jobId } of this.#context.state.cellsOn(workerId)) {
+    for (const { jobId } of this.#context.state.allocatedCells(workerId)) {
       const request = { reason: `worker ${workerId} was removed from the inventory`, isCheckpoint: true, goal: 'requeue' as const }
       this.#gangs.requestStop(jobId, request, false, nowMs)
     }
@@ -163,7 +163,7 @@
   }
 
   #isAllocated (workerId: string, report: TaskReport): boolean {
-    return this.#context.state.cellsOn(workerId).some(({ jobId, leaseId, task }) =>
+    return this.#context.state.allocatedCells(workerId).some(({ jobId, leaseId, task }) =>
       jobId === report.jobId && leaseId === report.leaseId && task.taskIndex === report.taskIndex)
   }
 
--- a/packages/control/test/fake-scheduler.ts
+++ b/packages/control/test/fake-scheduler.ts
@@ -52,17 +52,17 @@
     this.#failures.set(jobId, (this.#failures.get(jobId) ?? 0) + 1)
   }
 
-  override ended (jobId: string): void {
+  override jobEnded (jobId: string): void {
     this.calls.push(`ended ${jobId}`)
     this.#placed.delete(jobId)
   }
 
-  override reclaimed (jobId: string): void {
+  override jobReclaimed (jobId: string): void {
     this.calls.push(`reclaimed ${jobId}`)
     this.#placed.delete(jobId)
   }
 
-  override pass (): PlacementDecision[] {
+  override runPass (): PlacementDecision[] {
     const decisions = this.extraDecisions.splice(0)
     for (const job of [...this.#waiting.values()]) {
       const decision = this.#decide(job)
--- a/packages/control/test/simulation.ts
+++ b/packages/control/test/simulation.ts
@@ -168,7 +168,7 @@
     const leader = isToFormerLeader ? this.formerLeader ?? this.leader : this.leader
     switch (message.kind) {
       case 'orders': this.#deliverOrders(message.effect); break
-      case 'answer': this.dispatch({ kind: 'orders_answered', orderId: message.messageId, results: message.results }, leader); break
+      case 'answer': this.dispatch({ kind: 'orders_answered', messageId: message.messageId, results: message.results }, leader); break
       case 'report': this.#deliverReport(message, leader); break
       case 'lease': this.#deliverLease(message); break
     }
@@ -289,10 +289,10 @@
     }
   }
 
-  #deliverOrders ({ orderId, workerId, term, orders }: SendOrders): void {
+  #deliverOrders ({ messageId, workerId, term, orders }: SendOrders): void {
     const worker = this.worker(workerId)
     if (!worker.isProcessRunning) return
-    this.#send({ kind: 'answer', workerId, messageId: orderId, results: worker.receive(term, orders, this.nowMs) })
+    this.#send({ kind: 'answer', workerId, messageId, results: worker.receive(term, orders, this.nowMs) })
   }
 
   #deliverReport ({ report, sentMs }: Extract<Message, { kind: 'report' }>, leader: ControlLeader): void {
--- a/packages/core/src/ports.ts
+++ b/packages/core/src/ports.ts
@@ -21,7 +21,7 @@
 }
 
 /** Keeps counters and gauges in memory, for tests and for the status endpoint; ignores timings. */
-export class CountingMetrics extends Metrics {
+export class InMemoryMetrics extends Metrics {
   readonly #values = new Map<string, number>()
 
   override increment (name: string, tags: MetricTags = {}, count = 1): void {
--- a/packages/documents/src/yaml-file.ts
+++ b/packages/documents/src/yaml-file.ts
@@ -23,7 +23,7 @@
 }
 
 /** Result of the validation of a file: the value, or all problems in the file. */
-export type FileReading<T> =
+export type ValidationResult<T> =
   | { readonly kind: 'valid', readonly value: T }
   | { readonly kind: 'invalid', readonly problems: readonly FileProblem[] }
 
@@ -38,11 +38,11 @@
  * matches. `file` is the name that problems report.
  *
  * @example
- * readYaml('jobs.yaml', text, jobSchema, () => [])
+ * parseYaml('jobs.yaml', text, jobSchema, () => [])
  */
-export function readYaml<T> (
+export function parseYaml<T> (
   file: string, text: string, schema: z.ZodType<T>, check: (value: T) => readonly FieldProblem[]
-): FileReading<T> {
+): ValidationResult<T> {
   const lineCounter = new LineCounter()
   const document = parseDocument(text, { lineCounter })
   if (document.errors.length > 0) return { kind: 'invalid', problems: toSyntaxProblems(file, text, document) }
--- a/packages/documents/test/yaml-file.test.ts
+++ b/packages/documents/test/yaml-file.test.ts
@@ -1,6 +1,6 @@
 import test from 'ava'
 import { z } from 'zod'
-import { formatFileProblem, readYaml } from '../src/index.js'
+import { formatFileProblem, parseYaml } from '../src/index.js'
 
 const schema = z.strictObject({
   limits: z.strictObject({ maxBytes: z.int().default(5), address: z.url().optional() }).prefault({}),
@@ -9,7 +9,7 @@
 })
 
 function formatProblems (text: string): string[] {
-  const result = readYaml('f.yaml', text, schema, () => [])
+  const result = parseYaml('f.yaml', text, schema, () => [])
   return result.kind === 'valid' ? [] : result.problems.map(formatFileProblem)
 }
 
@@ -28,8 +28,8 @@
 
 test('the additional check is not called on a value that fails the schema, so it cannot crash on a missing field', t => {
   const check = () => [{ path: ['limits', 'maxBytes'], found: '9', allowed: 'less than hosts' }]
-  const result = readYaml('f.yaml', 'hosts: []\nlimits:\n  maxBytes: 9\n', schema, check)
+  const result = parseYaml('f.yaml', 'hosts: []\nlimits:\n  maxBytes: 9\n', schema, check)
   t.deepEqual(result.kind === 'invalid' ? result.problems.map(formatFileProblem) : [],
     ['f.yaml:3: limits.maxBytes: found 9, allowed less than hosts'])
-  t.is(readYaml('f.yaml', 'hosts: 1\n', schema, () => { throw new Error('was called') }).kind, 'invalid')
+  t.is(parseYaml('f.yaml', 'hosts: 1\n', schema, () => { throw new Error('was called') }).kind, 'invalid')
 })
--- a/packages/node/src/backend-state-broadcast.ts
+++ b/packages/node/src/backend-state-broadcast.ts
@@ -53,7 +53,7 @@
   receive (fromNodeId: string, message: Extract<PeerMessage, { kind: 'members' | 'load' }>): void {
     const nowMs = this.#options.clock.monotonicMs()
     if (message.kind === 'load') {
-      this.#options.router.peerLoad(fromNodeId, message.report, nowMs)
+      this.#options.router.applyPeerLoadReport(fromNodeId, message.report, nowMs)
     } else {
       for (const { record, ageMs } of message.records) this.#options.registry.announce(record, nowMs, ageMs)
     }
@@ -82,7 +82,8 @@
   }
 
   #broadcastLoad (): void {
-    const report = this.#options.router.loadReport(this.#options.maxLoadReportBytes, this.#options.clock.monotonicMs())
+    const report = this.#options.router.nextLoadReport(
+      this.#options.maxLoadReportBytes, this.#options.clock.monotonicMs())
     if (report.entries.length > 0) this.#options.broadcast({ kind: 'load', report })
   }
 }
--- a/packages/node/src/control-service.ts
+++ b/packages/node/src/control-service.ts
@@ -11,7 +11,7 @@
 } from '@comfreygrade/control'
 import { ConfigurationFeed } from './configuration-feed.js'
 import type { PeerMessage } from './peer-messages.js'
-import { ReplicaHost, StateMachine } from './replica-host.js'
+import { ReplicatedStateMachine, StateMachine } from './replica-host.js'
 import { decideBootstrap, findReplacedVoter, isVoterSetStable, type ControlPeer } from './voter-bootstrap.js'
 import type { WorkerClient } from './worker-client.js'
 
@@ -58,7 +58,7 @@
   readonly #peers = new Map<string, ControlPeer>()
   readonly #feed: ConfigurationFeed
   readonly #pendingOperations = new Map<string, (result: ControlResult) => void>()
-  readonly #host: ReplicaHost<ControlCommand>
+  readonly #replicatedStateMachine: ReplicatedStateMachine<ControlCommand>
   #state: ControlState
   #leader: ControlLeader | undefined
   #leaderTimer: NodeJS.Timeout | undefined
@@ -73,8 +73,8 @@
     })
     this.#state = new ControlState(this.#createStateOptions())
     const send = (effect: SendEffect): void => { this.#sendRaft(effect) }
-    this.#host = new ReplicaHost({ ...options, send, machine: this })
-    if (options.recovered !== null) this.#host.run(options.recovered)
+    this.#replicatedStateMachine = new ReplicatedStateMachine({ ...options, send, stateMachine: this })
+    if (options.recovered !== null) this.#replicatedStateMachine.start(options.recovered)
   }
 
   /** Announced to peers in `hello`. */
@@ -93,7 +93,7 @@
 
   /** The consensus replica, or null until the log is initialised. */
   get replica (): Replica<ControlCommand> | null {
-    return this.#host.replica
+    return this.#replicatedStateMachine.replica
   }
 
   /** Leader known to this replica. */
@@ -116,12 +116,12 @@
     // Ignores messages to this node's former disk, which was another voter: the new disk has not stored what the former
     // one acknowledged.
     if (message.to.diskId !== this.#options.self.diskId) return
-    this.#host.step({ kind: 'message', from: message.from, message: message.message })
+    this.#replicatedStateMachine.step({ kind: 'message', from: message.from, message: message.message })
   }
 
   /** Executes an operation; fails with `not_leader` unless this node leads. */
   async execute (operation: ControlOperation): Promise<ControlResult> {
-    if (!this.#host.isActiveLeader) return fail('not_leader', 'this node is not the control leader')
+    if (!this.#replicatedStateMachine.isActiveLeader) return fail('not_leader', 'this node is not the control leader')
     if (operation.kind === 'get_configuration_status') {
       return { ok: true, value: { kind: 'configuration_status', status: this.configurationStatus() } }
     }
@@ -134,7 +134,7 @@
 
   /** Answers a node's feed request, which also renews its configuration lease; undefined unless this node leads. */
   answerFeedRequest (nodeId: string, request: FeedRequest): Feed | undefined {
-    if (!this.#host.isActiveLeader) return undefined
+    if (!this.#replicatedStateMachine.isActiveLeader) return undefined
     return this.#feed.answer(nodeId, request, this.#state, this.#term)
   }
 
@@ -145,13 +145,13 @@
 
   /** Transfers leadership to another voter before a shutdown. */
   stepDown (): void {
-    this.#host.step({ kind: 'step_down' })
+    this.#replicatedStateMachine.step({ kind: 'step_down' })
   }
 
   /** Stops the timers and the replica, and closes the storage. */
   async stop (): Promise<void> {
     clearTimeout(this.#leaderTimer)
-    await this.#host.stop()
+    await this.#replicatedStateMachine.stop()
   }
 
   override apply (command: ControlCommand, proposalId: string, index: number, logTimeMs: number): void {
@@ -198,17 +198,17 @@
     const pending = [...this.#pendingOperations.values()]
     this.#pendingOperations.clear()
     // Pending proposals may still be committed by the next leader, so their outcome is unknown.
-    for (const resolve of pending) resolve(fail('outcome_unknown', 'the control leader lost its role'))
+    for (const resolve of pending) resolve(fail('outcome_unknown', 'the control leader lost leadership'))
   }
 
   #bootstrap (): void {
     const { self, controlNodeIds, log } = this.#options
     const decision = decideBootstrap(self, controlNodeIds, this.#peers)
-    if (decision.kind === 'wait' || this.#host.hasStartedBootstrap) return
+    if (decision.kind === 'wait' || this.#replicatedStateMachine.hasStartedBootstrap) return
     log.info('starting the control replica on an empty disk', { voters: decision.voters.map(voter => voter.nodeId) })
     const isVoter = decision.voters.some(voter => voter.nodeId === self.nodeId && voter.diskId === self.diskId)
-    if (isVoter) this.#host.initialise(decision.voters)
-    else this.#host.run(Replica.emptyLog())
+    if (isVoter) this.#replicatedStateMachine.bootstrap(decision.voters)
+    else this.#replicatedStateMachine.start(Replica.emptyLog())
   }
 
   #sendRaft (effect: SendEffect): void {
@@ -231,7 +231,7 @@
   #executeEffect (effect: ControlEffect): void {
     switch (effect.kind) {
       case 'propose':
-        this.#host.step({ kind: 'propose', proposalId: effect.proposalId, command: effect.command })
+        this.#replicatedStateMachine.step({ kind: 'propose', proposalId: effect.proposalId, command: effect.command })
         break
       case 'send_orders':
         this.#sendOrders(effect)
@@ -244,11 +244,11 @@
   }
 
   async #sendOrders (effect: Extract<ControlEffect, { kind: 'send_orders' }>): Promise<void> {
-    const { orderId, address, term, orders } = effect
+    const { messageId, address, term, orders } = effect
     const results = await this.#options.workerClient.send(address, term, orders)
     this.#handleEvent(results === undefined
-      ? { kind: 'orders_failed', orderId }
-      : { kind: 'orders_answered', orderId, results })
+      ? { kind: 'orders_failed', messageId }
+      : { kind: 'orders_answered', messageId, results })
   }
 
   #scheduleLeaderTick (): void {
@@ -265,10 +265,10 @@
     const removed = findReplacedVoter(replica.voters, announced)
     if (removed === undefined) return
     this.#options.log.warn('voter has a new disk and is being replaced', { nodeId: announced.nodeId })
-    this.#host.step({ kind: 'replace_voter', proposalId: randomUUID(), remove: removed, add: announced })
+    this.#replicatedStateMachine.step({ kind: 'replace_voter', proposalId: randomUUID(), remove: removed, add: announced })
   }
 
   #pushFeed (): void {
-    if (this.#host.isActiveLeader) this.#feed.push(this.#state, this.#term)
+    if (this.#replicatedStateMachine.isActiveLeader) this.#feed.push(this.#state, this.#term)
   }
 }
--- a/packages/node/src/node.ts
+++ b/packages/node/src/node.ts
@@ -184,7 +184,7 @@
   }
 
   override backendServers (): readonly BackendServerRecord[] {
-    return this.#registry.all(this.nowMs())
+    return this.#registry.allRecords(this.nowMs())
   }
 
   override status (): NodeStatus {
@@ -250,8 +250,8 @@
       port: peers.port,
       peers: peers.nodes,
       pingIntervalMs: timing.peerPingIntervalMs,
-      silenceMs: timing.peerSilenceMs,
-      redialMs: timing.peerRedialMs,
+      silenceTimeoutMs: timing.peerSilenceMs,
+      redialDelayMs: timing.peerRedialMs,
       clock,
       metrics,
       log,
--- a/packages/node/src/peer-links.ts
+++ b/packages/node/src/peer-links.ts
@@ -24,8 +24,8 @@
   /** Whether nodes outside `peers` may connect; messages to them are sent on the links that they dialled. */
   readonly acceptsUnknownNodes?: boolean
   readonly pingIntervalMs: number
-  readonly silenceMs: number
-  readonly redialMs: number
+  readonly silenceTimeoutMs: number
+  readonly redialDelayMs: number
   readonly clock: Clock
   readonly metrics: Metrics
   readonly log: EventLog
@@ -217,7 +217,7 @@
   checkLiveness (): void {
     if (this.#socket === undefined) return
     const silentMs = this.#options.clock.monotonicMs() - this.#lastReceivedAtMs
-    if (silentMs >= this.#options.silenceMs) {
+    if (silentMs >= this.#options.silenceTimeoutMs) {
       this.#options.metrics.increment('peer.silent_link_closed', { peer: this.#peer.nodeId })
       this.#socket.destroy()
       return
@@ -246,7 +246,7 @@
       this.#options.log.warn('peer link is down', { peerId: this.#peer.nodeId })
       this.#options.onDisconnect(this.#peer.nodeId)
     }
-    if (!this.#isClosed) this.#redialTimer = setTimeout(() => { this.dial() }, this.#options.redialMs)
+    if (!this.#isClosed) this.#redialTimer = setTimeout(() => { this.dial() }, this.#options.redialDelayMs)
   }
 }
 
@@ -280,7 +280,7 @@
   }
 
   checkLiveness (): void {
-    if (this.#options.clock.monotonicMs() - this.#lastReceivedAtMs >= this.#options.silenceMs) this.close()
+    if (this.#options.clock.monotonicMs() - this.#lastReceivedAtMs >= this.#options.silenceTimeoutMs) this.close()
   }
 
   close (): void {
--- a/packages/node/src/replica-host.ts
+++ b/packages/node/src/replica-host.ts
@@ -21,11 +21,11 @@
   abstract proposalRejected (proposalId: string, isNeverApplied: boolean): void
 }
 
-/** Options of {@link ReplicaHost}. */
-export interface ReplicaHostOptions<Command> {
+/** Options of {@link ReplicatedStateMachine}. */
+export interface ReplicatedStateMachineOptions<Command> {
   readonly self: VoterId
   readonly storage: LogStorage<Command>
-  readonly machine: StateMachine<Command>
+  readonly stateMachine: StateMachine<Command>
   readonly replicaSettings: ReplicaSettings
   readonly snapshotAfterEntries: number
   readonly random: Random
@@ -38,8 +38,8 @@
 }
 
 /** Adds a state machine, snapshots and leadership to a replica that a {@link ReplicaRunner} drives. */
-export class ReplicaHost<Command> {
-  readonly #options: ReplicaHostOptions<Command>
+export class ReplicatedStateMachine<Command> {
+  readonly #options: ReplicatedStateMachineOptions<Command>
   #runner: ReplicaRunner<Command> | undefined
   #appliedIndex = 0
   #appliedTerm = 0
@@ -48,7 +48,7 @@
   #hasStartedBootstrap = false
   #isLeading = false
 
-  constructor (options: ReplicaHostOptions<Command>) {
+  constructor (options: ReplicatedStateMachineOptions<Command>) {
     this.#options = options
   }
 
@@ -68,16 +68,16 @@
   }
 
   /** Bootstraps the log on an empty disk with the first voter set and starts the replica. */
-  initialise (voters: readonly VoterId[]): void {
+  bootstrap (voters: readonly VoterId[]): void {
     const { storage, storageFailed } = this.#options
     const initial = Replica.initialLog<Command>(voters)
     const { hardState, entries } = initial
     this.#hasStartedBootstrap = true
-    storage.persist({ kind: 'persist', persistId: 0, hardState, entries }).then(() => { this.run(initial) }, storageFailed)
+    storage.persist({ kind: 'persist', persistId: 0, hardState, entries }).then(() => { this.start(initial) }, storageFailed)
   }
 
   /** Starts the replica from the recovered log. */
-  run (recovered: RecoveredLog<Command>): void {
+  start (recovered: RecoveredLog<Command>): void {
     const { self, replicaSettings, random, clock, storage, storageFailed } = this.#options
     // Log time is the leader's time in the entries, which never decreases: the first leader takes wall time as its
     // origin, and later leaders continue from the log.
@@ -113,7 +113,7 @@
       this.#appliedTerm = entry.term
       if (entry.body.kind !== 'command') continue
       const { proposalId, command } = entry.body
-      this.#options.machine.apply(command, proposalId, entry.index, entry.logTimeMs)
+      this.#options.stateMachine.apply(command, proposalId, entry.index, entry.logTimeMs)
     }
     this.#startLeadershipIfCurrent()
     this.#takeSnapshotIfDue(effect)
@@ -126,11 +126,11 @@
 
   #proposalRejected ({ proposalId, reason }: EffectOf<Command, 'proposal_rejected'>): void {
     this.#options.metrics.increment('consensus.proposal_rejected', { reason })
-    this.#options.machine.proposalRejected(proposalId, reason !== 'unknown')
+    this.#options.stateMachine.proposalRejected(proposalId, reason !== 'unknown')
   }
 
   #restore (snapshot: Snapshot): void {
-    this.#options.machine.restore(snapshot.content)
+    this.#options.stateMachine.restore(snapshot.content)
     this.#appliedIndex = snapshot.lastIndex
     this.#appliedTerm = snapshot.lastTerm
     this.#snapshotIndex = snapshot.lastIndex
@@ -148,13 +148,13 @@
     if (this.#isLeading || replica?.role !== 'leader' || this.#appliedTerm !== replica.term) return
     this.#isLeading = true
     this.#options.log.info('leadership started', { term: replica.term })
-    this.#options.machine.leadershipStarted(replica.term)
+    this.#options.stateMachine.leadershipStarted(replica.term)
   }
 
   #endLeadership (): void {
     if (!this.#isLeading) return
     this.#isLeading = false
-    this.#options.machine.leadershipEnded()
+    this.#options.stateMachine.leadershipEnded()
     this.#options.log.info('leadership ended')
   }
 
@@ -163,7 +163,7 @@
     const runner = this.#runner
     if (last === undefined || runner === undefined || this.#isSnapshotInProgress) return
     if (this.#appliedIndex - this.#snapshotIndex < this.#options.snapshotAfterEntries) return
-    const content = this.#options.machine.encodeSnapshot()
+    const content = this.#options.stateMachine.encodeSnapshot()
     const snapshot = { ...runner.replica.describeSnapshot(last.index), content }
     this.#isSnapshotInProgress = true
     this.#snapshotIndex = last.index
--- a/packages/node/src/replica-runner.ts
+++ b/packages/node/src/replica-runner.ts
@@ -13,7 +13,10 @@
   readonly storageFailed: (error: unknown) => void
 }
 
-/** Passes events and timer ticks to a replica and executes its effects; see `ReplicaHost` for the state machine. */
+/**
+ * Passes events and timer ticks to a replica and executes its effects.
+ * `ReplicatedStateMachine` adds the state machine.
+ */
 export class ReplicaRunner<Command> {
   readonly replica: Replica<Command>
   readonly #storage: LogStorage<Command>
--- a/packages/node/src/request-service.ts
+++ b/packages/node/src/request-service.ts
@@ -157,8 +157,8 @@
     openRequest.attempts.delete(attempt)
     if (result.kind === 'answered') {
       openRequest.answers.set(attempt, result.answer)
-      const quality = result.answer.status >= 500 ? 'server_error' : 'success'
-      this.handleEvent({ kind: 'answered', requestId, attempt, quality })
+      const status = result.answer.status >= 500 ? 'server_error' : 'success'
+      this.handleEvent({ kind: 'answered', requestId, attempt, status })
     } else {
       const { progress, reason } = result
       this.handleEvent({ kind: 'attempt_failed', requestId, attempt, progress, reason })
--- a/packages/node/src/scheduler-adapter.ts
+++ b/packages/node/src/scheduler-adapter.ts
@@ -20,9 +20,9 @@
  * it failed. A release is therefore buffered until the job is submitted again, or until the next pass, report, reclaim
  * check or configuration.
  *
- * `GangScheduler.reclaimed` requeues a job, and `GangScheduler.ended` removes it. With this port both `ended` and
- * `reclaimed` remove a job, and only a submission makes it wait again. The adapter therefore calls
- * `GangScheduler.reclaimed` for a release that is followed by a submission, and `GangScheduler.ended` for any other.
+ * `GangScheduler.requeue` requeues a job, and `GangScheduler.jobEnded` removes it. With this port both `jobEnded` and
+ * `jobReclaimed` remove a job, and only a submission makes it wait again. The adapter therefore calls
+ * `GangScheduler.requeue` for a release that is followed by a submission, and `GangScheduler.jobEnded` for any other.
  */
 export class SchedulerAdapter extends JobScheduler {
   readonly #scheduler: GangScheduler
@@ -54,7 +54,7 @@
 
   override submit (job: JobSpec, nowMs: number): Failure | undefined {
     if (!this.#pendingReleases.delete(job.jobId)) return this.#scheduler.submit(job, nowMs)
-    this.#scheduler.reclaimed(job.jobId, nowMs)
+    this.#scheduler.requeue(job.jobId, nowMs)
     return undefined
   }
 
@@ -70,17 +70,17 @@
     this.#scheduler.taskFailed(jobId, workerId, nowMs)
   }
 
-  override ended (jobId: string, nowMs: number): void {
+  override jobEnded (jobId: string, nowMs: number): void {
     this.#pendingReleases.set(jobId, nowMs)
   }
 
-  override reclaimed (jobId: string, nowMs: number): void {
+  override jobReclaimed (jobId: string, nowMs: number): void {
     this.#pendingReleases.set(jobId, nowMs)
   }
 
-  override pass (nowMs: number): PlacementDecision[] {
+  override runPass (nowMs: number): PlacementDecision[] {
     this.#flushPendingReleases()
-    return this.#scheduler.pass(nowMs)
+    return this.#scheduler.runPass(nowMs)
   }
 
   override explain (jobId: string, nowMs: number): JobExplanation {
@@ -98,7 +98,7 @@
   }
 
   #flushPendingReleases (): void {
-    for (const [jobId, releasedAtMs] of this.#pendingReleases) this.#scheduler.ended(jobId, releasedAtMs)
+    for (const [jobId, releasedAtMs] of this.#pendingReleases) this.#scheduler.jobEnded(jobId, releasedAtMs)
     this.#pendingReleases.clear()
   }
 }
--- a/packages/node/src/settings.ts
+++ b/packages/node/src/settings.ts
@@ -1,5 +1,5 @@
 /** Settings of a node: a YAML file that is validated against a schema, with all errors reported at once. */
-import { readYaml, UNKNOWN_FIELD, type FieldProblem, type FileReading } from '@comfreygrade/documents'
+import { parseYaml, UNKNOWN_FIELD, type FieldProblem, type ValidationResult } from '@comfreygrade/documents'
 import { z } from 'zod'
 
 const identifier = z.string().regex(
@@ -123,8 +123,8 @@
  * @example
  * const reading = readSettings('node.yaml', await readFile('node.yaml', 'utf8'), defaults)
  */
-export function readSettings (file: string, text: string, defaults: OverridableDefaults): FileReading<Settings> {
-  return readYaml(file, text, settingsSchema, settings => checkOverrides(settings, defaults))
+export function readSettings (file: string, text: string, defaults: OverridableDefaults): ValidationResult<Settings> {
+  return parseYaml(file, text, settingsSchema, settings => checkOverrides(settings, defaults))
 }
 
 /**
--- a/packages/node/src/statsd-metrics.ts
+++ b/packages/node/src/statsd-metrics.ts
@@ -1,5 +1,5 @@
 import { StatsD } from 'hot-shots'
-import { CountingMetrics, Metrics, type MetricTags } from '@comfreygrade/core'
+import { InMemoryMetrics, Metrics, type MetricTags } from '@comfreygrade/core'
 
 /** StatsD server that metrics are sent to. */
 export interface MetricsTarget {
@@ -14,7 +14,7 @@
  * Without a target nothing is sent.
  */
 export class StatsdMetrics extends Metrics {
-  readonly #counters = new CountingMetrics()
+  readonly #counters = new InMemoryMetrics()
   readonly #client: StatsD | undefined
 
   constructor (target: MetricsTarget | undefined, nodeId: string) {
--- a/packages/node/test/control-client.test.ts
+++ b/packages/node/test/control-client.test.ts
@@ -1,5 +1,5 @@
 import test from 'ava'
-import { CountingMetrics, fail } from '@comfreygrade/core'
+import { InMemoryMetrics, fail } from '@comfreygrade/core'
 import type { ControlOperation, ControlResult } from '@comfreygrade/control'
 import { ControlClient, type ControlClientOptions } from '../src/control-client.js'
 import type { PeerMessage } from '../src/peer-messages.js'
@@ -18,7 +18,7 @@
     timeoutMs: 500,
     attemptTimeoutMs: 60,
     clock: new SystemClock(),
-    metrics: new CountingMetrics(),
+    metrics: new InMemoryMetrics(),
     leaderNodeId: () => 'n2',
     send: (_nodeId, message) => {
       const delivery = deliveries.length > 1 ? deliveries.shift() : deliveries[0]
--- a/packages/node/test/fixture.ts
+++ b/packages/node/test/fixture.ts
@@ -2,7 +2,7 @@
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http'
 import type { AddressInfo } from 'node:net'
 import {
-  CountingMetrics, defaultRules, fail, failure, Random, succeed, type BackendServerRecord, type Failure,
+  InMemoryMetrics, defaultRules, fail, failure, Random, succeed, type BackendServerRecord, type Failure,
   type RequestSpec, type Result, type Rules
 } from '@comfreygrade/core'
 import { BackendRegistry, defaultRoutingSettings, LocalityPolicy, RequestRouter } from '@comfreygrade/routing'
@@ -16,7 +16,7 @@
 /** Application with a real request service, which records the control operations that it is asked to execute. */
 export class EntryApplication extends Application {
   readonly clock = new SystemClock()
-  readonly metrics = new CountingMetrics()
+  readonly metrics = new InMemoryMetrics()
   readonly registry = new BackendRegistry(10_000)
   readonly backendClient = new BackendClient({ maxAnswerBytes: 1024 * 1024, connectTimeoutMs: 500 })
   readonly operations: ControlOperation[] = []
@@ -78,7 +78,7 @@
   }
 
   override backendServers (): readonly BackendServerRecord[] {
-    return this.registry.all(this.nowMs())
+    return this.registry.allRecords(this.nowMs())
   }
 
   override status (): NodeStatus {
--- a/packages/node/test/scheduler-adapter.test.ts
+++ b/packages/node/test/scheduler-adapter.test.ts
@@ -44,30 +44,30 @@
   const scheduler = createScheduler({ ...defaultPlacementSettings, maxFailedPlacements: 2 })
   scheduler.submit(job('bad'), 0)
   for (const nowMs of [10, 20]) {
-    const [place] = scheduler.pass(nowMs)
+    const [place] = scheduler.runPass(nowMs)
     t.is(place?.kind, 'place')
     const workerId = place?.kind === 'place' ? place.placement.tasks[0]?.workerId ?? '' : ''
     scheduler.taskFailed('bad', workerId, nowMs + 1)
-    scheduler.ended('bad', nowMs + 2)
+    scheduler.jobEnded('bad', nowMs + 2)
     scheduler.submit(job('bad'), nowMs + 2)
   }
-  t.true(scheduler.pass(30).some(decision => decision.kind === 'stop' && decision.jobId === 'bad'))
+  t.true(scheduler.runPass(30).some(decision => decision.kind === 'stop' && decision.jobId === 'bad'))
 })
 
 test('a released job that is not submitted again frees its accelerators at the next scheduling pass', t => {
   const scheduler = createScheduler()
   for (const jobId of ['a', 'b', 'c']) scheduler.submit(job(jobId), 0)
-  t.is(scheduler.pass(1).length, 2)
-  scheduler.ended('a', 2)
-  t.deepEqual(scheduler.pass(3).map(decision => decision.jobId), ['c'])
+  t.is(scheduler.runPass(1).length, 2)
+  scheduler.jobEnded('a', 2)
+  t.deepEqual(scheduler.runPass(3).map(decision => decision.jobId), ['c'])
   t.is(scheduler.report().runningJobs, 2)
 })
 
 test('a requeued job keeps its queue position, so that the loss of a worker does not move it to the end', t => {
   const scheduler = createScheduler()
   for (const jobId of ['a', 'b', 'c']) scheduler.submit(job(jobId), 0)
-  scheduler.pass(1)
-  scheduler.ended('a', 2)
+  scheduler.runPass(1)
+  scheduler.jobEnded('a', 2)
   scheduler.submit(job('a'), 2)
-  t.deepEqual(scheduler.pass(3).map(decision => decision.jobId), ['a'])
+  t.deepEqual(scheduler.runPass(3).map(decision => decision.jobId), ['a'])
 })
--- a/packages/placement/src/free-cell-search.ts
+++ b/packages/placement/src/free-cell-search.ts
@@ -30,7 +30,7 @@
   #findAdjacent (shape: GangShape, pool: CellPool, level: number, isUsable?: CellFilter): number[] | undefined {
     const needed = shape.tasks * 2 ** level
     if (this.#fleet.used.freeInPool(pool.index) < needed) return undefined
-    for (const rackIndex of this.#policy.candidateRacks(this.#fleet.used, pool, needed)) {
+    for (const rackIndex of this.#policy.racksInSearchOrder(this.#fleet.used, pool, needed)) {
       if (this.#fleet.used.capacityInRack(rackIndex, level) < shape.tasks) continue
       const cells = shape.adjacency === 'rack'
         ? this.#collectCells(this.#maximalFreeCells(rackIndex, level), level, shape.tasks, isUsable)
@@ -44,7 +44,7 @@
     const cells: number[] = []
     for (const { pool, level } of shape.poolLevels) {
       const remaining = shape.tasks - cells.length
-      if (this.#policy.takesSmallestCell()) cells.push(...this.#findBestFit(pool, level, remaining, isUsable))
+      if (this.#policy.usesBestFit()) cells.push(...this.#findBestFit(pool, level, remaining, isUsable))
       else cells.push(...this.#findFirstFit(pool, level, remaining, isUsable))
       if (cells.length === shape.tasks) return cells
     }
@@ -56,7 +56,7 @@
     const found: number[] = []
     for (let cellLevel = level; cellLevel < tree.levels && found.length < tasks; cellLevel++) {
       if (used.maximalCellsInPool(pool.index, cellLevel) === 0) continue
-      for (const rackIndex of this.#policy.candidateRacks(used, pool, 2 ** cellLevel)) {
+      for (const rackIndex of this.#policy.racksInSearchOrder(used, pool, 2 ** cellLevel)) {
         if (used.maximalCellsInRack(rackIndex, cellLevel) === 0) continue
         const cells = used.listMaximalCells(rackIndex, cellLevel).filter(cell => tree.level[cell] === cellLevel)
         found.push(...this.#collectCells(cells, level, tasks - found.length, isUsable))
@@ -68,7 +68,7 @@
 
   #findFirstFit (pool: CellPool, level: number, tasks: number, isUsable?: CellFilter): number[] {
     const found: number[] = []
-    for (const rackIndex of this.#policy.candidateRacks(this.#fleet.used, pool, 2 ** level)) {
+    for (const rackIndex of this.#policy.racksInSearchOrder(this.#fleet.used, pool, 2 ** level)) {
       found.push(...this.#collectCells(this.#maximalFreeCells(rackIndex, level), level, tasks - found.length, isUsable))
       if (found.length === tasks) break
     }
@@ -77,7 +77,7 @@
 
   #maximalFreeCells (rackIndex: number, level: number): number[] {
     const cells = this.#fleet.used.listMaximalCells(rackIndex, level)
-    if (!this.#policy.takesSmallestCell()) return cells
+    if (!this.#policy.usesBestFit()) return cells
     const levels = this.#fleet.tree.level
     return cells.sort((left, right) => levels[left]! - levels[right]!)
   }
@@ -111,7 +111,7 @@
     }
     let best: number[] = []
     for (const cells of byWorker.values()) {
-      const isTighter = best.length === 0 || (this.#policy.takesSmallestCell() && cells.length < best.length)
+      const isTighter = best.length === 0 || (this.#policy.usesBestFit() && cells.length < best.length)
       if (cells.length >= tasks && isTighter) best = cells
     }
     return best.slice(0, tasks)
--- a/packages/placement/src/policies.ts
+++ b/packages/placement/src/policies.ts
@@ -31,9 +31,9 @@
   /** Order in which waiting jobs are tried; negative if `left` comes first. */
   abstract compareWaiting (left: WaitingOrderKey, right: WaitingOrderKey): number
   /** Racks of a pool with at least `minFree` free accelerators, in the order in which they are searched. */
-  abstract candidateRacks (cells: FreeCellIndex, pool: CellPool, minFree: number): Iterable<number>
+  abstract racksInSearchOrder (cells: FreeCellIndex, pool: CellPool, minFree: number): Iterable<number>
   /** Whether cells are chosen by best fit (the smallest that is large enough) instead of first fit. */
-  abstract takesSmallestCell (): boolean
+  abstract usesBestFit (): boolean
   /** Whether guarantees are honoured: cells are bound to them, and lent capacity is reclaimed for them. */
   abstract usesGuarantees (): boolean
   /** Whether urgent jobs preempt jobs of lower priority on lent capacity. */
@@ -53,11 +53,11 @@
       left.sequence - right.sequence
   }
 
-  override candidateRacks (cells: FreeCellIndex, pool: CellPool, minFree: number): Iterable<number> {
+  override racksInSearchOrder (cells: FreeCellIndex, pool: CellPool, minFree: number): Iterable<number> {
     return cells.racksByFullness(pool.index, minFree)
   }
 
-  override takesSmallestCell (): boolean {
+  override usesBestFit (): boolean {
     return true
   }
 
@@ -86,11 +86,11 @@
     return left.sequence - right.sequence
   }
 
-  override candidateRacks (cells: FreeCellIndex, pool: CellPool, minFree: number): Iterable<number> {
+  override racksInSearchOrder (cells: FreeCellIndex, pool: CellPool, minFree: number): Iterable<number> {
     return pool.rackIndexes.filter(rackIndex => cells.freeInRack(rackIndex) >= minFree)
   }
 
-  override takesSmallestCell (): boolean {
+  override usesBestFit (): boolean {
     return false
   }
 
--- a/packages/placement/src/scheduler.ts
+++ b/packages/placement/src/scheduler.ts
@@ -48,7 +48,7 @@
  * scheduler.applyConfiguration(configuration)
  * scheduler.workerJoined('w1', nowMs)
  * scheduler.submit(job, nowMs)
- * for (const decision of scheduler.pass(nowMs)) execute(decision)
+ * for (const decision of scheduler.runPass(nowMs)) execute(decision)
  */
 export class GangScheduler {
   readonly #settings: PlacementSettings
@@ -197,7 +197,7 @@
    * Removes a job that ended. Frees the cells of a placed job, whose leases must all have been released, and records a
    * success unless a task failed or the job was cancelled, stopped or preempted.
    */
-  ended (jobId: string, nowMs: number): void {
+  jobEnded (jobId: string, nowMs: number): void {
     this.#advanceClock(nowMs)
     const job = this.#jobs.get(jobId)
     if (job === undefined) return
@@ -214,7 +214,7 @@
    * Requeues a job that has vacated its cells, after preemption or because its gang has to restart. A job that was
    * cancelled or stopped meanwhile is removed.
    */
-  reclaimed (jobId: string, nowMs: number): void {
+  requeue (jobId: string, nowMs: number): void {
     this.#advanceClock(nowMs)
     const job = this.#jobs.get(jobId)
     if (job === undefined || job.state !== 'placed') return
@@ -227,7 +227,7 @@
   }
 
   /** Runs a scheduling pass: places waiting jobs, and preempts jobs on lent capacity for guarantees or urgent jobs. */
-  pass (nowMs: number): PlacementDecision[] {
+  runPass (nowMs: number): PlacementDecision[] {
     this.#advanceClock(nowMs)
     for (const workerId of this.#workerHealth.endExpiredQuarantines(nowMs)) this.#refreshWorker(workerId)
     this.#placeReadyClaims()
--- a/packages/placement/test/random-events.test.ts
+++ b/packages/placement/test/random-events.test.ts
@@ -65,7 +65,7 @@
   }
 
   runPass (): void {
-    for (const decision of this.scheduler.pass(this.nowMs)) this.#applyDecision(decision)
+    for (const decision of this.scheduler.runPass(this.nowMs)) this.#applyDecision(decision)
     const names = [...this.placed.values()].flatMap(acceleratorNames)
     this.t.is(new Set(names).size, names.length)
     this.t.is(this.scheduler.report().acceleratorsInUse, names.length)
@@ -73,13 +73,13 @@
 
   endAllJobs (): void {
     for (const jobId of this.specs.keys()) this.scheduler.cancel(jobId, this.nowMs)
-    for (const jobId of this.specs.keys()) this.scheduler.ended(jobId, this.nowMs)
+    for (const jobId of this.specs.keys()) this.scheduler.jobEnded(jobId, this.nowMs)
     this.placed.clear()
     this.preempted.clear()
   }
 
   vacatePreempted (): void {
-    for (const jobId of [...this.preempted]) this.#vacate(jobId, 'reclaimed')
+    for (const jobId of [...this.preempted]) this.#vacate(jobId, 'requeue')
     this.runPass()
   }
 
@@ -88,7 +88,7 @@
     for (const jobId of this.specs.keys()) if (!this.placed.has(jobId)) this.scheduler.cancel(jobId, this.nowMs)
     for (const [jobId, placement] of [...this.placed]) {
       // Requeued first: a waiting job is removed when it is cancelled, a placed one is not.
-      if (placement.capacityClass === 'guaranteed') this.#vacate(jobId, 'reclaimed')
+      if (placement.capacityClass === 'guaranteed') this.#vacate(jobId, 'requeue')
       if (placement.capacityClass === 'guaranteed') this.scheduler.cancel(jobId, this.nowMs)
     }
   }
@@ -110,20 +110,20 @@
     const copy = { ...configuration, workers: new Map(configuration.workers) }
     if (kind === 'configure') this.scheduler.applyConfiguration(copy)
     if (kind === 'cancel') this.#cancel([...this.specs.keys()][pick % Math.max(1, this.specs.size)])
-    if (kind === 'leave') for (const victim of [...this.preempted]) this.#vacate(victim, 'reclaimed')
+    if (kind === 'leave') for (const victim of [...this.preempted]) this.#vacate(victim, 'requeue')
     if (jobId === undefined) return
     if (kind === 'fail') this.scheduler.taskFailed(jobId, this.placed.get(jobId)!.tasks[0]!.workerId, this.nowMs)
-    if (kind === 'end') this.#vacate(jobId, 'ended')
-    if (kind === 'requeue') this.#vacate(jobId, 'reclaimed')
+    if (kind === 'end') this.#vacate(jobId, 'jobEnded')
+    if (kind === 'requeue') this.#vacate(jobId, 'requeue')
   }
 
   #cancel (jobId: string | undefined): void {
     if (jobId === undefined) return
     this.scheduler.cancel(jobId, this.nowMs)
-    if (this.placed.has(jobId)) this.#vacate(jobId, 'ended')
+    if (this.placed.has(jobId)) this.#vacate(jobId, 'jobEnded')
   }
 
-  #vacate (jobId: string, how: 'ended' | 'reclaimed'): void {
+  #vacate (jobId: string, how: 'jobEnded' | 'requeue'): void {
     this.scheduler[how](jobId, this.nowMs)
     this.placed.delete(jobId)
     this.preempted.delete(jobId)
@@ -139,7 +139,7 @@
       this.t.not(this.specs.get(jobId)!.preemption, 'none')
       this.t.false(this.preempted.has(jobId), 'preempted twice')
       this.preempted.add(jobId)
-    } else if (this.placed.has(jobId)) this.#vacate(jobId, 'ended')
+    } else if (this.placed.has(jobId)) this.#vacate(jobId, 'jobEnded')
   }
 
   #checkGang (spec: JobSpec, placement: Placement): void {
--- a/packages/routing/src/events.ts
+++ b/packages/routing/src/events.ts
@@ -32,7 +32,7 @@
 export type RoutingEvent =
   | { readonly kind: 'arrived', readonly request: RequestSpec }
   | { readonly kind: 'claim_decided', readonly requestId: string, readonly decision: ClaimDecision }
-  | { readonly kind: 'answered', readonly requestId: string, readonly attempt: number, readonly quality: AnswerStatus }
+  | { readonly kind: 'answered', readonly requestId: string, readonly attempt: number, readonly status: AnswerStatus }
   | {
     readonly kind: 'attempt_failed'
     readonly requestId: string
--- a/packages/routing/src/registry.ts
+++ b/packages/routing/src/registry.ts
@@ -111,7 +111,7 @@
   }
 
   /** Records of all registered backend servers with their current state, for operators. */
-  all (nowMs: number): BackendServerRecord[] {
+  allRecords (nowMs: number): BackendServerRecord[] {
     return [...this.#servers.values()].map(server =>
       this.#isFresh(server, nowMs) ? server.record : { ...server.record, state: 'expired' })
   }
--- a/packages/routing/src/router.ts
+++ b/packages/routing/src/router.ts
@@ -137,12 +137,12 @@
    *
    * @param maxBytesHint size that the encoded report should not exceed
    */
-  loadReport (maxBytesHint: number, nowMs: number): LoadReport {
+  nextLoadReport (maxBytesHint: number, nowMs: number): LoadReport {
     return this.#loadExchange.nextReport(maxBytesHint, nowMs)
   }
 
   /** Applies the load report of a peer; waiting requests are checked at the next event. */
-  peerLoad (nodeId: string, report: LoadReport, nowMs: number): void {
+  applyPeerLoadReport (nodeId: string, report: LoadReport, nowMs: number): void {
     this.#loadExchange.applyPeerReport(nodeId, report, nowMs)
     this.#dispatcher.markCapacityChanged()
   }
@@ -151,7 +151,7 @@
     switch (event.kind) {
       case 'arrived': return this.#onArrived(event.request, nowMs)
       case 'claim_decided': return this.#onClaimDecided(event.requestId, event.decision, nowMs)
-      case 'answered': return this.#onAnswered(event.requestId, event.attempt, event.quality, nowMs)
+      case 'answered': return this.#onAnswered(event.requestId, event.attempt, event.status, nowMs)
       case 'attempt_failed':
         return this.#onAttemptFailed(event.requestId, event.attempt, event.progress, event.reason, nowMs)
       case 'caller_gone': return this.#onCallerGone(event.requestId)
--- a/packages/routing/test/registry.test.ts
+++ b/packages/routing/test/registry.test.ts
@@ -42,7 +42,7 @@
   t.is(registry.servingRecords('print', 5_099).length, 1)
   t.deepEqual(registry.servingRecords('print', 5_100), [])
   t.false(registry.announce(record({ sequence: 2 }), 5_100, 1_000))
-  t.is(registry.all(5_100)[0]?.state, 'expired')
+  t.is(registry.allRecords(5_100)[0]?.state, 'expired')
 })
 
 test('batches for peers contain each change once with its age, so that peers miss no record and expire it in time', t => {
--- a/packages/routing/test/router-simulation.ts
+++ b/packages/routing/test/router-simulation.ts
@@ -1,6 +1,6 @@
 /** Simulation of the front end, the control plane and the backend servers; it records which requests were executed. */
 import {
-  CountingMetrics, errorTable, Random, type BackendServerRecord, type Failure, type Repeatability, type RequestSpec
+  InMemoryMetrics, errorTable, Random, type BackendServerRecord, type Failure, type Repeatability, type RequestSpec
 } from '@comfreygrade/core'
 import {
   BackendRegistry, defaultRoutingSettings, LocalityPolicy, RequestRouter,
@@ -120,7 +120,7 @@
     openRequestsAtEnd: 0
   }
 
-  readonly metrics = new CountingMetrics()
+  readonly metrics = new InMemoryMetrics()
   readonly #scenario: Scenario
   readonly #router: RouterLike
   readonly #registry: BackendRegistry
@@ -248,7 +248,7 @@
     const execute = (atMs: number) => this.#schedule(atMs, () => this.#recordExecution(requestId))
     const answer = (atMs: number, status: 'success' | 'server_error' = 'success') => this.#schedule(atMs, () => {
       this.trace.answered.add(`${requestId}#${attempt}`)
-      this.#send({ kind: 'answered', requestId, attempt, quality: status })
+      this.#send({ kind: 'answered', requestId, attempt, status })
     })
     const fail = (atMs: number, progress: 'not_sent' | 'maybe_sent', reason: AttemptFailureReason) =>
       this.#schedule(atMs, () => this.#send({ kind: 'attempt_failed', requestId, attempt, progress, reason }))
--- a/packages/routing/test/router.test.ts
+++ b/packages/routing/test/router.test.ts
@@ -1,5 +1,5 @@
 import test from 'ava'
-import { CountingMetrics, Random, type BackendServerRecord, type RequestSpec } from '@comfreygrade/core'
+import { InMemoryMetrics, Random, type BackendServerRecord, type RequestSpec } from '@comfreygrade/core'
 import {
   BackendRegistry, defaultRoutingSettings, LocalityPolicy, RequestRouter, RoundRobinPolicy,
   type RoutingEffect, type RoutingPolicy, type RoutingSettings
@@ -18,7 +18,7 @@
   const registry = new BackendRegistry(EXPIRE_AFTER_MS)
   servers.forEach((server, index) => registry.announce(serverRecord({ backendServerId: `b${index}`, ...server }), 0))
   const merged = { ...defaultRoutingSettings, ...settings }
-  const metrics = new CountingMetrics()
+  const metrics = new InMemoryMetrics()
   const router = new RequestRouter({
     settings: merged,
     registry,
@@ -64,7 +64,7 @@
 }
 
 function succeed (router: RequestRouter, requestId: string, nowMs: number, attempt = 1): RoutingEffect[] {
-  return router.handle({ kind: 'answered', requestId, attempt, quality: 'success' }, nowMs)
+  return router.handle({ kind: 'answered', requestId, attempt, status: 'success' }, nowMs)
 }
 
 function refusalKinds (effects: readonly RoutingEffect[]): string[] {
@@ -188,7 +188,7 @@
     const [[, server] = []] = dispatched(arrive(router, spec, nowMs))
     if (server === 'b0') errors.push(nowMs)
     const status = server === 'b0' ? 'server_error' : 'success'
-    router.handle({ kind: 'answered', requestId: id, attempt: 1, quality: status }, nowMs + 1)
+    router.handle({ kind: 'answered', requestId: id, attempt: 1, status }, nowMs + 1)
   }
   t.true(errors.length > 0 && errors.length <= 5, `${errors.length} requests met the failing server`)
 })
@@ -253,7 +253,7 @@
   const { router } = setUp({ servers: [{ slots: 2 }] })
   arrive(router, request('r1'))
   succeed(router, 'r1', 10)
-  router.peerLoad('entry-2', { entries: [{ backendServerId: 'b0', inFlight: 2, longInFlight: 0 }] }, 20)
+  router.applyPeerLoadReport('entry-2', { entries: [{ backendServerId: 'b0', inFlight: 2, longInFlight: 0 }] }, 20)
   arrive(router, request('r2'), 21)
   arrive(router, request('r3'), 21)
   t.is(router.queuedRequests, 1)
@@ -265,12 +265,12 @@
   const servers = Array.from({ length: 20 }, () => ({ slots: 4 }))
   const { router } = setUp({ servers })
   for (let index = 0; index < 20; index++) arrive(router, request(`r${index}`))
-  const first = router.loadReport(400, 1)
+  const first = router.nextLoadReport(400, 1)
   t.true(first.entries.length > 0 && JSON.stringify(first).length <= 400)
-  const rest = router.loadReport(100_000, 2)
+  const rest = router.nextLoadReport(100_000, 2)
   t.is(new Set([...first.entries, ...rest.entries].map(entry => entry.backendServerId)).size,
     first.entries.length + rest.entries.length)
-  t.deepEqual(router.loadReport(100_000, 3).entries, [])
+  t.deepEqual(router.nextLoadReport(100_000, 3).entries, [])
 })
 
 test('the same events and seed give the same effects, so that a failure can be reproduced', t => {
--- a/packages/standins/src/demo-fleet.ts
+++ b/packages/standins/src/demo-fleet.ts
@@ -24,7 +24,7 @@
   constructor (document: ConfigurationDocument, entryAddresses: readonly string[]) {
     const runTimes = new RunTimeByClass(demoRunMsByClass, DEFAULT_RUN_TIME_MS)
     this.workers = document.workers.map(({ workerId, accelerators }, index) => (
-      new StandInWorker({ workerId, accelerators, runTimes, entries: rotate(entryAddresses, index) })))
+      new StandInWorker({ workerId, accelerators, runTimes, entryAddresses: rotate(entryAddresses, index) })))
     const regions = [...new Set(document.racks.map(rack => rack.region))]
     this.backendServers = regions.flatMap(region => Array.from({ length: BACKEND_SERVERS_PER_REGION }, (_, index) => (
       new StandInBackendServer({
--- a/packages/standins/src/demo-workload.ts
+++ b/packages/standins/src/demo-workload.ts
@@ -2,7 +2,7 @@
 import { setTimeout as delay } from 'node:timers/promises'
 import type { ErrorBody, JobSpec } from '@comfreygrade/core'
 import {
-  ClientError, type JobAnswer, type NodeClient, type ShortRequest, type ShortRequestAnswer, uuidV7
+  ClientError, type JobResponse, type NodeClient, type ShortRequest, type ShortRequestResponse, uuidV7
 } from '@comfreygrade/cli'
 import type { StandInBackendServer } from './backend-server.js'
 import { waitFor } from './waiting.js'
@@ -63,17 +63,17 @@
  * @example
  * const placed = await submitDemoJobs(client)
  */
-export async function submitDemoJobs (client: NodeClient): Promise<readonly JobAnswer[]> {
+export async function submitDemoJobs (client: NodeClient): Promise<readonly JobResponse[]> {
   for (const job of demoJobs) await client.submitJob(job)
   return await waitFor('the first jobs to run', JOBS_TIMEOUT_MS, async () => {
     const { jobs } = await client.jobs()
-    const isStarted = ({ spec, phase }: JobAnswer) => spec.jobId === WAITING_JOB_ID || phase === 'running' || phase === 'ended'
+    const isStarted = ({ spec, phase }: JobResponse) => spec.jobId === WAITING_JOB_ID || phase === 'running' || phase === 'ended'
     return jobs.length === demoJobs.length && jobs.every(isStarted) ? jobs : undefined
   })
 }
 
 /** Waits until every job has ended; rejects if one did not complete. */
-export async function waitForDemoJobs (client: NodeClient): Promise<readonly JobAnswer[]> {
+export async function waitForDemoJobs (client: NodeClient): Promise<readonly JobResponse[]> {
   const jobs = await waitFor('all jobs to end', JOBS_TIMEOUT_MS, async () => {
     const response = await client.jobs()
     return response.jobs.every(({ phase }) => phase === 'ended') ? response.jobs : undefined
@@ -125,7 +125,7 @@
 
 async function sendDemoRequest (
   clients: readonly NodeClient[], index: number, idempotencyKey: string | undefined
-): Promise<ShortRequestAnswer> {
+): Promise<ShortRequestResponse> {
   const client = clients[index % clients.length]
   const organisationId = ORGANISATIONS[index % ORGANISATIONS.length]
   if (client === undefined || organisationId === undefined) throw new Error('no entry node to send the request to')
@@ -140,7 +140,7 @@
 }
 
 /** Retries a refused request as its refusal allows; an idempotency key makes every retry of its request safe. */
-async function sendWithRetries (client: NodeClient, request: ShortRequest): Promise<ShortRequestAnswer> {
+async function sendWithRetries (client: NodeClient, request: ShortRequest): Promise<ShortRequestResponse> {
   const retryUntilMs = performance.now() + REQUEST_RETRY_TIMEOUT_MS
   for (;;) {
     try {
--- a/packages/standins/src/demo.ts
+++ b/packages/standins/src/demo.ts
@@ -4,7 +4,7 @@
 import { join } from 'node:path'
 import { fileURLToPath } from 'node:url'
 import type { ConfigurationDocument } from '@comfreygrade/core'
-import { applyDocument, NodeClient, readConfigurationFile, runCommandLine, type Streams } from '@comfreygrade/cli'
+import { applyDocument, NodeClient, parseConfigurationFile, runCommandLine, type Streams } from '@comfreygrade/cli'
 import { DemoFleet } from './demo-fleet.js'
 import { type LocalNode, writeNodeSettings } from './node-settings.js'
 import { waitForDemoJobs, sendDemoRequests, submitDemoJobs, WAITING_JOB_ID } from './demo-workload.js'
@@ -78,7 +78,7 @@
 
   async #startNodes (): Promise<void> {
     printStep(`starting ${this.#nodes.length} nodes`)
-    await Promise.all(this.#processes.map(async node => await node.ready(STEP_TIMEOUT_MS)))
+    await Promise.all(this.#processes.map(async node => await node.waitUntilReady(STEP_TIMEOUT_MS)))
     for (const [index, { nodeId, region, roles, address }] of this.#nodes.entries()) {
       console.log(`${nodeId} (${region}, ${roles.join(' and ')}) at ${address}, process ${this.#processes[index]?.pid}`)
     }
@@ -86,7 +86,7 @@
 
   async #applyInventory (): Promise<ConfigurationDocument> {
     printStep('applying examples/inventory.yaml')
-    const result = readConfigurationFile('examples/inventory.yaml', await readFile(INVENTORY_FILE, 'utf8'))
+    const result = parseConfigurationFile('examples/inventory.yaml', await readFile(INVENTORY_FILE, 'utf8'))
     if (result.kind === 'invalid') throw new Error(JSON.stringify(result.problems))
     await waitFor('the inventory to be accepted', STEP_TIMEOUT_MS, async () => (
       await applyDocument(this.#client, result.value)))
--- a/packages/standins/src/local-cluster.ts
+++ b/packages/standins/src/local-cluster.ts
@@ -68,7 +68,7 @@
     }
     const cluster = new LocalCluster(folder, await writeNodeSettings(folder, overrides), links)
     try {
-      await Promise.all([...cluster.#processes.values()].map(async node => await node.ready(READY_TIMEOUT_MS)))
+      await Promise.all([...cluster.#processes.values()].map(async node => await node.waitUntilReady(READY_TIMEOUT_MS)))
       await cluster.waitForLeader()
       return cluster
     } catch (error) {
@@ -131,7 +131,7 @@
     const node = this.nodes.find(candidate => candidate.nodeId === nodeId)
     if (node === undefined) throw new Error(`no node ${nodeId}`)
     this.#startProcess(node)
-    await this.#lookup(this.#processes, nodeId).ready(READY_TIMEOUT_MS)
+    await this.#lookup(this.#processes, nodeId).waitUntilReady(READY_TIMEOUT_MS)
   }
 
   /** Deletes the data folder of a killed node, which simulates the loss of its disk. */
--- a/packages/standins/src/local.ts
+++ b/packages/standins/src/local.ts
@@ -1,7 +1,7 @@
 /** `npm run local`: runs a local cluster with stand-in backend servers until SIGINT or SIGTERM, for load tests. */
 import { readFile } from 'node:fs/promises'
 import { join } from 'node:path'
-import { applyDocument, readConfigurationFile } from '@comfreygrade/cli'
+import { applyDocument, parseConfigurationFile } from '@comfreygrade/cli'
 import meow from 'meow'
 import { StandInBackendServer } from './backend-server.js'
 import { LocalCluster } from './local-cluster.js'
@@ -29,7 +29,7 @@
 
 async function applyInventory (cluster: LocalCluster): Promise<void> {
   const client = cluster.client(cluster.nodes[0]?.nodeId ?? '')
-  const result = readConfigurationFile('examples/inventory.yaml', await readFile(INVENTORY_FILE, 'utf8'))
+  const result = parseConfigurationFile('examples/inventory.yaml', await readFile(INVENTORY_FILE, 'utf8'))
   if (result.kind === 'invalid') throw new Error(JSON.stringify(result.problems))
   await waitFor('the inventory to be accepted', STEP_TIMEOUT_MS, async () => await applyDocument(client, result.value))
   await waitFor('the inventory to be in force', STEP_TIMEOUT_MS, async () =>
--- a/packages/standins/src/main.ts
+++ b/packages/standins/src/main.ts
@@ -73,7 +73,7 @@
 function createWorker (): StandIn {
   const { id, entry, port, slots, runMs, behaviour } = cli.flags
   const runTimes = new FixedRunTime(runMs)
-  const worker = new StandInWorker({ workerId: id, entries: entry, port, accelerators: slots, runTimes })
+  const worker = new StandInWorker({ workerId: id, entryAddresses: entry, port, accelerators: slots, runTimes })
   if (behaviour !== undefined) worker.setBehaviour(createWorkerBehaviour(parseName(behaviour, workerBehaviourNames)))
   return worker
 }
--- a/packages/standins/src/node-process.ts
+++ b/packages/standins/src/node-process.ts
@@ -43,7 +43,7 @@
   }
 
   /** Resolves once the process has printed its ready line; rejects if it exits before or `timeoutMs` elapses. */
-  async ready (timeoutMs: number): Promise<void> {
+  async waitUntilReady (timeoutMs: number): Promise<void> {
     await withTimeout(this.#ready, timeoutMs, `${this.name} was not ready after ${timeoutMs} ms`)
   }
 
--- a/packages/standins/src/worker.ts
+++ b/packages/standins/src/worker.ts
@@ -13,7 +13,7 @@
 export interface WorkerSettings {
   readonly workerId: string
   /** Base URLs of entry nodes. */
-  readonly entries: readonly string[]
+  readonly entryAddresses: readonly string[]
   readonly accelerators: number
   readonly runTimes: RunTimes
   /** 0 selects a free port. */
@@ -25,7 +25,7 @@
 
 const DEFAULT_SETTINGS: WorkerSettings = {
   workerId: 'worker-1',
-  entries: [],
+  entryAddresses: [],
   accelerators: 8,
   runTimes: new FixedRunTime(1_000),
   port: 0,
@@ -66,7 +66,7 @@
     this.#incarnation = clock.wallMs()
     const { accelerators, runTimes } = this.#settings
     this.#taskTable = new TaskTable(accelerators, runTimes, new CompleteTasksBehaviour(), this.#incarnation)
-    this.#entryClient = new EntryClient(this.#settings.entries, this.#settings.heartbeatTimeoutMs)
+    this.#entryClient = new EntryClient(this.#settings.entryAddresses, this.#settings.heartbeatTimeoutMs)
   }
 
   /** Base URL that orders are sent to. */
@@ -92,7 +92,7 @@
   /** Opens the port and starts the heartbeats, which register the worker. */
   async start (): Promise<void> {
     await this.#server.listen(this.#settings.port)
-    if (this.#settings.entries.length > 0) this.#heartbeat.start()
+    if (this.#settings.entryAddresses.length > 0) this.#heartbeat.start()
   }
 
   /** Shuts down gracefully: stops all tasks, deregisters at an entry node and closes the port. */
@@ -101,7 +101,7 @@
     await this.#heartbeat.stop()
     this.#taskTable.stopAll(this.#clock.monotonicMs())
     clearTimeout(this.#dueTimer)
-    if (this.#settings.entries.length > 0) {
+    if (this.#settings.entryAddresses.length > 0) {
       await this.#entryClient.send('DELETE', `/v1/workers/${this.#settings.workerId}`)
     }
     await this.#server.destroy()
--- a/packages/standins/test/gangs.test.ts
+++ b/packages/standins/test/gangs.test.ts
@@ -37,7 +37,7 @@
   const workers = testInventory.workers.map(({ workerId, accelerators }) => new StandInWorker({
     workerId,
     accelerators,
-    entries: cluster.entryAddresses,
+    entryAddresses: cluster.entryAddresses,
     runTimes: new FixedRunTime(runMs),
     maxHeartbeatIntervalMs: 300
   }))
--- a/packages/standins/test/node-process.test.ts
+++ b/packages/standins/test/node-process.test.ts
@@ -26,13 +26,13 @@
     globalThis.process.on('SIGTERM', () => clearInterval(timer))
     console.log('{"event":"ready"}')
   `)
-  await process.ready(10_000)
+  await process.waitUntilReady(10_000)
   t.deepEqual(await process.stop(10_000), { code: 0, signal: null })
 })
 
 test('the wait for a process that exits early rejects, and its log lines are kept to show the cause', async t => {
   const process = await startScript(t, 'console.error("{\\"message\\":\\"port in use\\"}"); globalThis.process.exitCode = 1')
-  await t.throwsAsync(process.ready(10_000), { message: /ended with code 1/ })
+  await t.throwsAsync(process.waitUntilReady(10_000), { message: /ended with code 1/ })
   t.deepEqual(process.logLines, ['{"message":"port in use"}'])
 })
 
@@ -40,7 +40,7 @@
   const process = await startScript(t, `
     globalThis.process.on('SIGTERM', () => {}); setInterval(() => {}, 1000); console.log('{"event":"ready"}')
   `)
-  await process.ready(10_000)
+  await process.waitUntilReady(10_000)
   await t.throwsAsync(process.stop(50), { message: /did not end within 50 ms/ })
   t.deepEqual(await process.kill(), { code: null, signal: 'SIGKILL' })
 })
@@ -61,12 +61,12 @@
   const file = join(await temporaryFolder(t), 'node.yaml')
   await writeFile(file, 'node: { nodeId: n 1 }\nhttp: { host: localhost, port: 0, colour: red }\n')
   const wrongFile = new NodeProcess('n1', NODE_SCRIPT, ['--settings', file, '--check'])
-  await t.throwsAsync(wrongFile.ready(10_000), { message: /ended with code 2/ })
+  await t.throwsAsync(wrongFile.waitUntilReady(10_000), { message: /ended with code 2/ })
   const fields = wrongFile.logLines.map(line => line.slice(file.length).split(' found ')[0])
   const missing = ['region', 'availabilityZone', 'roles'].map(field => `:1: node.${field}:`)
   t.deepEqual(fields.toSorted(),
     [':1: node.nodeId:', ...missing, ':1: peers:', ':2: http.colour:', ':2: http.host:', ':2: http.port:'].toSorted())
   const wrongFlag = new NodeProcess('n1', NODE_SCRIPT, ['--settings', file, '--chek'])
-  await t.throwsAsync(wrongFlag.ready(10_000), { message: /ended with code 2/ })
+  await t.throwsAsync(wrongFlag.waitUntilReady(10_000), { message: /ended with code 2/ })
   t.true(wrongFlag.logLines.some(line => line.includes('--chek')))
 })
--- a/packages/standins/test/worker.test.ts
+++ b/packages/standins/test/worker.test.ts
@@ -22,7 +22,7 @@
 async function startWorker (runMs: number, clock?: Clock): Promise<WorkerFixture> {
   const entry = new FakeEntryNode()
   await entry.start()
-  const worker = new StandInWorker({ entries: [entry.address], runTimes: new FixedRunTime(runMs) }, clock)
+  const worker = new StandInWorker({ entryAddresses: [entry.address], runTimes: new FixedRunTime(runMs) }, clock)
   await worker.start()
   // A worker refuses orders until its first heartbeat has obtained a lease.
   await pollUntil(() => worker.acceptedHeartbeats > 0)
