--- a/packages/batch-node/src/batch-node.ts
+++ b/packages/batch-node/src/batch-node.ts
@@ -230,7 +230,8 @@
     if (service === undefined || own === null || !service.isActiveLeader) return
     const change = this.#membership.nextVoterChange(this.voters, own.voter)
     if (change === undefined) return
-    this.#options.log.warn('changing the voter set', { ...change })
+    // Repeated by each periodic task until the change is committed.
+    this.#options.log.warn('proposing a change of the voter set', { ...change })
     service.changeVoters(change.remove, change.add)
   }
 
--- a/packages/batch-node/src/batch-service.ts
+++ b/packages/batch-node/src/batch-service.ts
@@ -22,9 +22,12 @@
   readonly replicaSettings: ReplicaSettings
   /** Number of log entries between two snapshots. */
   readonly snapshotAfterEntries: number
-  /** Monotonic clock, for the time between heartbeats. */
+  /**
+   * Clock of the batch leader, for all its times. Its monotonic time may stop during a suspension of the machine; the
+   * worker leases then expire later, which only frees the runs later.
+   */
   readonly clock: Clock
-  /** Monotonic clock for the leases of this node, which keeps running while the machine is suspended. */
+  /** Clock of the replica, for leader leases and elections; it counts the time of a suspension of the machine too. */
   readonly leaseClock: Clock
   readonly random: Random
   readonly metrics: Metrics
--- a/packages/batch-node/src/control-membership.ts
+++ b/packages/batch-node/src/control-membership.ts
@@ -44,19 +44,25 @@
     this.#options = options
   }
 
-  /** Records what a node announces about itself. A new start time shows that it has restarted and is not leaving. */
+  /**
+   * Records what a node announces about itself. A start time other than the one known shows that it has restarted and
+   * is not leaving; a node that has been forgotten meanwhile stays marked as leaving.
+   */
   recordAnnouncement (info: ControlNodeInfo): void {
     const known = this.#nodes.get(info.nodeId)
     if (known !== undefined && known.info.startedWallMs !== info.startedWallMs) this.#leavingNodeIds.delete(info.nodeId)
     this.#nodes.set(info.nodeId, { info, lastHeardOrReportedMs: this.#nowMs })
   }
 
-  /** Adds a node that a peer has reported, unless it is known already. Until it is silent it is presumed reachable. */
+  /**
+   * Adds a node that a peer has reported, unless it is known already. It counts as heard from at that time, so it is
+   * a possible standby until it has been silent for too long.
+   */
   addIfUnknown (info: ControlNodeInfo): void {
     if (!this.#nodes.has(info.nodeId)) this.#nodes.set(info.nodeId, { info, lastHeardOrReportedMs: this.#nowMs })
   }
 
-  /** Records that any message of a node was received. */
+  /** Records that a message of a node was received, other than `ping` and `pong`, which the links handle. */
   recordContact (nodeId: string): void {
     const node = this.#nodes.get(nodeId)
     if (node !== undefined) node.lastHeardOrReportedMs = this.#nowMs
--- a/packages/batch-node/src/leader-client.ts
+++ b/packages/batch-node/src/leader-client.ts
@@ -115,6 +115,7 @@
       const settle = (outcome: AttemptOutcome): void => {
         clearTimeout(timer)
         this.#pendingRequests.delete(requestId)
+        // Counts requests sent to peers that got no response, whether or not a retry follows.
         if (outcome.kind === 'unknown') this.#options.metrics.increment('retry', { reason: 'leader_silent' })
         resolve(outcome)
       }
--- a/packages/batch-node/src/messages.ts
+++ b/packages/batch-node/src/messages.ts
@@ -38,7 +38,9 @@
      */
     readonly readsNumberedFields?: boolean
   }
+  /** Keeps a link alive; `PeerLinks` handles `ping` and `pong` and passes neither on. */
   | { readonly kind: 'ping' }
+  /** Response to `ping`. */
   | { readonly kind: 'pong' }
   /** Response of a control node to `hello`, with all control nodes that it knows, itself included. */
   | { readonly kind: 'members', readonly nodes: readonly ControlNodeInfo[], readonly leaderNodeId: string | null }
--- a/packages/batch-node/src/suspend-aware-clock.ts
+++ b/packages/batch-node/src/suspend-aware-clock.ts
@@ -8,10 +8,10 @@
 const MIN_SUSPENSION_MS = 150
 
 /**
- * Clock for leases, which must not outlive a suspension of the machine. The monotonic clock of the operating system
- * stops during a suspension, wall time does not, so each forward shift of wall time above the threshold is added to the
- * monotonic time. A lease may therefore expire early after a forward correction of wall time. It may expire late by a
- * suspension below the threshold, or by one that a backward correction of wall time cancels out.
+ * Clock for leader leases, which must not outlive a suspension of the machine. The monotonic clock of the operating
+ * system stops during a suspension, wall time does not, so each forward shift of wall time above the threshold is added
+ * to the monotonic time. A lease may therefore expire early after a forward correction of wall time. It may expire late
+ * by a suspension below the threshold, or by one that a backward correction of wall time cancels out.
  *
  * @example
  * const clock = new SuspendAwareClock(new SystemClock())
--- a/packages/batch-node/test/batch-node.test.ts
+++ b/packages/batch-node/test/batch-node.test.ts
@@ -98,7 +98,7 @@
   t.like(await cluster.executeUntil(frontend, jobState('j1')), { value: { state: 'queued' } })
 })
 
-test.serial('a minority of the control nodes eventually rejects a job as certainly not run', async t => {
+test.serial('a minority of the control nodes eventually answers a submission with control_unavailable', async t => {
   const { cluster, frontend } = await startCluster(t)
   await cluster.stop('a')
   await cluster.stop('b')
--- a/packages/batch/src/evictions.ts
+++ b/packages/batch/src/evictions.ts
@@ -39,9 +39,9 @@
   if (isLeaving) {
     return runs
       .filter(run => cannotEndInTime(run, view.latest.remainingMs, settings))
-      .map(run => evictFromLeavingWorker(run, view))
+      .map(run => leavingWorkerEviction(run, view))
   }
-  return runs.filter(run => isStalled(run, view, settings, nowMs)).map(run => evictStalled(run, view, nowMs))
+  return runs.filter(run => isStalled(run, view, settings, nowMs)).map(run => stalledEviction(run, view, nowMs))
 }
 
 /**
@@ -55,11 +55,11 @@
     .map(({ assignment }) => ({ assignment, reason: 'maintenance' }))
 }
 
-function evictFromLeavingWorker ({ assignment, remainingMs }: OccupyingRun, view: WorkerView): Eviction {
+function leavingWorkerEviction ({ assignment, remainingMs }: OccupyingRun, view: WorkerView): Eviction {
   return { assignment, reason: 'worker_leaving', remainingMs, workerRemainingMs: view.latest.remainingMs }
 }
 
-function evictStalled ({ assignment }: OccupyingRun, view: WorkerView, nowMs: number): Eviction {
+function stalledEviction ({ assignment }: OccupyingRun, view: WorkerView, nowMs: number): Eviction {
   const { taskKey, run } = assignment
   const unchangedMs = view.unchangedMs(taskKey, run, nowMs)
   return { assignment, reason: 'stalled', unchangedMs, percent: view.runningTask(taskKey, run)?.percent }
--- a/packages/batch/src/maintenance.ts
+++ b/packages/batch/src/maintenance.ts
@@ -69,8 +69,8 @@
   }
 
   /**
-   * Cordons the next VMs, and returns the calls that are due, which count as pending from then on. A new leader waits
-   * until no call of an earlier leader can be in progress.
+   * Cordons the next VMs, and returns the calls that are due, which count as pending from then on. A new leader
+   * begins none at first, since calls of an earlier leader may still be in progress.
    */
   startDueCalls (): MaintenanceCall[] {
     const nowMs = this.#options.clock.monotonicMs()
@@ -89,7 +89,10 @@
     return calls
   }
 
-  /** Records the platform's answer; returns whether the maintenance of the VM counts as done. */
+  /**
+   * Records the platform's answer; returns whether the maintenance of the VM counts as done, in which case the VM is no
+   * longer cordoned. It remains in its wave until the command `maintenance_done` is applied.
+   */
   recordAnswer ({ waveId, vmId }: MaintenanceCall, answer: MaintenanceAnswer): boolean {
     const nowMs = this.#options.clock.monotonicMs()
     this.#options.log.info('maintenance call answered', { waveId, vmId, answer })
--- a/packages/batch/src/operation-handler.ts
+++ b/packages/batch/src/operation-handler.ts
@@ -163,7 +163,7 @@
   /** A request that got `control_unavailable` had no effect and can be repeated safely. */
   #answerProposal (requestId: string, outcome: ProposalOutcome): void {
     if (outcome.kind === 'applied') return this.#accept(requestId)
-    const detail = 'the batch leader lost its role before it could confirm that the command was committed'
+    const detail = 'the control leader lost its role before it could confirm that the command was committed'
     this.#refuse(requestId, outcome.isCertain ? { kind: 'control_unavailable', detail } : { kind: 'outcome_unknown', detail })
   }
 
--- a/packages/batch/src/settings.ts
+++ b/packages/batch/src/settings.ts
@@ -74,8 +74,8 @@
   /** Longest time for which gang members wait for one another; a gang's runs count as stalled this much later. */
   readonly gangWaitMs: number
   /**
-   * Time from the start of a term for which a maintenance call of an earlier leader may still be in progress; the new
-   * leader begins no maintenance before that.
+   * Time from the start of a term in which the leader begins no maintenance, since maintenance calls of an earlier
+   * leader may still be in progress. Unrelated to worker orders and leases.
    */
   readonly orderLeaseMs: number
   /** Time from the beginning of a VM's maintenance until its worker is certainly back. */
--- a/packages/batch/src/worker-capacity.ts
+++ b/packages/batch/src/worker-capacity.ts
@@ -100,7 +100,8 @@
 
   /**
    * Times from now at which the first, second, ... further task fits as runs end; at most `limit` of them. On a worker
-   * with reservations they may be too early: the capacity that these leave over counts as free from now on.
+   * with reservations they may be too early: the capacity that is expected to be free beside the reservations, which
+   * includes that of runs that end before, counts as free from now on, and again when those runs end.
    */
   expectedStartTimes (spec: StepSpec, limit: number): number[] {
     const available = { ...(this.#unreserved ?? this.#free) }
--- a/packages/batch/src/worker-registry.ts
+++ b/packages/batch/src/worker-registry.ts
@@ -163,7 +163,8 @@
 
   /**
    * Whether a run on the worker is suspect: it has made some progress but none for a while. Other runs on the worker
-   * may stall too. Runs at 0 or full progress do not count.
+   * may stall too. Runs at 0 or full progress do not count. Unlike for evictions, fillers and lasting
+   * runs count too.
    */
   hasSuspectRun (view: WorkerView): boolean {
     const changedBeforeMs = this.#clock.monotonicMs() - this.#settings.suspectAfterMs
