--- a/packages/cli/src/job-commands.ts
+++ b/packages/cli/src/job-commands.ts
@@ -66,7 +66,7 @@
   }
 
   protected override render ({ spec }: JobResponse): string {
-    return `job ${spec.jobId} is cancelled or has ended`
+    return `job ${spec.jobId} is ending or has ended`
   }
 }
 
